--- a/src/directory/change-feed.ts
+++ b/src/directory/change-feed.ts
@@ -1,6 +1,6 @@
 /**
- * Publishes committed changes to the daemons that watch a replica. Each change and each table is encoded and
- * compressed once for all of them.
+ * Publishes committed changes to the daemons that watch a replica. Each change and each full table is encoded and
+ * compressed once and shared by all watchers.
  */
 import type { Connection } from '../runtime/runtime.js';
 import { encodeCompactFrame } from '../transport/frame-codec.js';
@@ -13,24 +13,24 @@
   type DirectoryState,
 } from './directory-state.js';
 
-/** Published changes that are kept for watchers that come back. */
-const KEPT_CHANGES = 1_024;
+/** Maximum number of published changes retained for watchers that reconnect. */
+const MAX_RETAINED_CHANGES = 1_024;
 
-/** Changes that a watcher is sent after a table that was encoded before them; then the table is encoded anew. */
-const MOST_AFTER_TABLE = 128;
+/** Maximum number of changes sent after a cached table; beyond that, the table is encoded again. */
+const MAX_CHANGES_AFTER_TABLE = 128;
 
 interface Published {
   readonly index: number;
   readonly frame: Buffer;
 }
 
-/** The watchers of one replica. */
+/** Delivers tables and changes to the watchers of one replica. */
 export class ChangeFeed {
   private readonly watchers = new Set<Connection>();
   private recent: Published[] = [];
-  /** Changes after this index are all in `recent`. */
-  private recentSince = 0;
-  private encodedTable: Published | null = null;
+  /** `recent` holds every change after this index. */
+  private recentAfterIndex = 0;
+  private cachedTable: Published | null = null;
   private newest = 0;
 
   /** Number of watchers. */
@@ -38,49 +38,50 @@
     return this.watchers.size;
   }
 
-  /** Index of the newest change, or of the state that was taken over as a whole. */
+  /** Index of the newest published change, or of the snapshot that last replaced the state. */
   get newestIndex(): number {
     return this.newest;
   }
 
-  /** Adds a watcher that holds everything up to `fromIndex`, and brings it up to date. */
+  /** Adds a watcher that holds everything up to `fromIndex` and sends it the changes that it lacks. */
   add(connection: Connection, fromIndex: number, state: DirectoryState, index: number): void {
     this.watchers.add(connection);
-    const needsTable = fromIndex === 0 || fromIndex < this.recentSince;
+    const needsTable = fromIndex === 0 || fromIndex < this.recentAfterIndex;
     const heldIndex = needsTable ? this.sendTable(connection, state, index) : fromIndex;
     for (const published of this.recent) {
       if (published.index > heldIndex) connection.sendEncoded(published.frame);
     }
   }
 
-  /** Sends a whole table, which may be some changes old; returns its index. */
+  /** Sends a full table, which may lag the state by a few changes, and returns its index. */
   private sendTable(connection: Connection, state: DirectoryState, index: number): number {
     const table = this.table(state, index);
     connection.sendEncoded(table.frame);
     return table.index;
   }
 
-  /** A connection has closed. */
+  /** Removes the watcher on a closed connection. */
   remove(connection: Connection): void {
     this.watchers.delete(connection);
   }
 
-  /** Publishes what one committed command changed. */
+  /** Publishes the changes made by one committed command. */
   publish(index: number, changes: readonly DirectoryChange[]): void {
     if (changes.length === 0) return;
-    if (changes.some(isOrder)) this.encodedTable = null;
+    if (changes.some(isOperatorChange)) this.cachedTable = null;
     this.newest = index;
     const frame = encodeNotice({ kind: 'changes', index, changes: changes.map(withoutItemSources) });
     this.recent.push({ index, frame });
-    if (this.recent.length > KEPT_CHANGES) this.recentSince = this.recent.shift()?.index ?? index;
+    if (this.recent.length > MAX_RETAINED_CHANGES)
+      this.recentAfterIndex = this.recent.shift()?.index ?? index;
     for (const watcher of this.watchers) watcher.sendEncoded(frame);
   }
 
-  /** The state was replaced as a whole. */
+  /** Sends a full table to every watcher after the state was replaced by a snapshot. */
   reset(state: DirectoryState, index: number): void {
     this.recent = [];
-    this.recentSince = index;
-    this.encodedTable = null;
+    this.recentAfterIndex = index;
+    this.cachedTable = null;
     this.newest = index;
     if (this.watchers.size === 0) return;
     const { frame } = this.table(state, index);
@@ -94,36 +95,42 @@
     for (const watcher of this.watchers) watcher.sendEncoded(frame);
   }
 
-  /** Tells every watcher to go elsewhere. */
-  dismissAll(): void {
+  /** Removes all watchers and notifies them that this replica has no leader, so that they try another replica. */
+  refuseAllWatchers(): void {
     this.broadcast({ kind: 'watch-refused', reason: 'no-leader' });
     this.watchers.clear();
   }
 
-  /** Daemons that come together while changes go on share one table: encoding a long one takes longer than a change. */
+  /**
+   * Returns the cached table, or encodes a new one. Daemons that connect at about the same time share one table even
+   * while changes continue, because encoding a large table costs more than sending the changes after it.
+   */
   private table(state: DirectoryState, index: number): Published {
-    const known = this.encodedTable;
-    if (known !== null && this.canFollow(known.index)) return known;
+    const cached = this.cachedTable;
+    if (cached !== null && this.canCatchUpFrom(cached.index)) return cached;
     const table = withoutSources(encodeDirectory(state));
     const encoded = { index, frame: encodeNotice({ kind: 'table', index, table }) };
-    this.encodedTable = encoded;
+    this.cachedTable = encoded;
     return encoded;
   }
 
-  /** Whether the changes after an index are held, and few. */
-  private canFollow(index: number): boolean {
-    if (index < this.recentSince) return false;
-    const later = this.recent.length - MOST_AFTER_TABLE;
-    return later <= 0 || (this.recent[later - 1]?.index ?? 0) <= index;
+  /** Whether the changes after an index are all retained and at most `MAX_CHANGES_AFTER_TABLE`. */
+  private canCatchUpFrom(index: number): boolean {
+    if (index < this.recentAfterIndex) return false;
+    const excess = this.recent.length - MAX_CHANGES_AFTER_TABLE;
+    return excess <= 0 || (this.recent[excess - 1]?.index ?? 0) <= index;
   }
 }
 
-/** Whether an operator ordered it. A daemon that starts is to know of it from its table, since it may be long in force. */
-function isOrder({ kind }: DirectoryChange): boolean {
+/**
+ * Whether a change was ordered by an operator. Such a change invalidates the cached table: it may already be in force,
+ * so a daemon that starts must find it in its table.
+ */
+function isOperatorChange({ kind }: DirectoryChange): boolean {
   return kind === 'items' || kind === 'evacuation';
 }
 
-/** Watchers route by definitions; only operators read what was written. */
+/** Drops item sources: watchers route by definitions, and only operators read the source text. */
 function withoutSources(table: ReturnType<typeof encodeDirectory>): ReturnType<typeof encodeDirectory> {
   return { ...forWatchers(table), items: table.items.map(withoutSource) };
 }
--- a/src/directory/directory-commands.ts
+++ b/src/directory/directory-commands.ts
@@ -1,37 +1,37 @@
-/** Commands of the directory's state machine, what they do, and the changes that they publish. */
+/** Commands of the directory's state machine, their outcomes, and the changes that they publish. */
 import type { CrashCommand } from '../quarantine/crash-commands.js';
 import type { CrashRecord } from '../quarantine/crash-records.js';
 import type { BackendCondition, BackendInstance, ConfigurationItem, KeyRange } from './directory-state.js';
 
-/** Takes items whose versions are their own: for each name the highest version stands. */
+/** Stores individually versioned items; for each name the highest version wins. */
 export interface ConfigureItemsCommand {
   readonly kind: 'configure-items';
-  /** Digest of the call's content; the same call sent again gets the same answer. Missing where nothing is sent again. */
+  /** Digest of the call's content, by which a resend gets the same answer. Missing for calls that are never resent. */
   readonly digest?: string | undefined;
   readonly items: readonly ConfigurationItem[];
 }
 
-/** Changes the configuration as a whole, if `base` is its present version. */
+/** Creates a new revision of the whole configuration if `base` is the current version. */
 export interface ConfigureRevisionCommand {
   readonly kind: 'configure-revision';
   readonly base: number;
   readonly version: number;
-  /** Digest of the call's content; the same call sent again gets the same answer. */
+  /** Digest of the call's content, by which a resend gets the same answer. */
   readonly digest: string;
-  /** Whether items that the call does not name are dropped. */
+  /** Whether items that are missing from `items` are dropped. */
   readonly replacesAll: boolean;
   readonly items: readonly ConfigurationItem[];
 }
 
-/** Registers one life of a back end; asking again gets the same session. */
+/** Registers one incarnation of a back end. Idempotent: repeated registrations get the same session. */
 export interface RegisterCommand {
   readonly kind: 'register';
   readonly instance: Omit<BackendInstance, 'session'>;
-  /** Other life at the same daemon that it may end; null for none, missing for any. */
+  /** Id of the incarnation at the same daemon that may be replaced; null for none, missing for any. */
   readonly replaces?: string | null | undefined;
 }
 
-/** A back end has changed its condition. */
+/** Changes the condition of a back end. */
 export interface SetConditionCommand {
   readonly kind: 'set-condition';
   readonly id: string;
@@ -39,39 +39,39 @@
   readonly condition: BackendCondition;
 }
 
-/** Back ends whose leases ran out or that are gone; what they own has no owner any more. */
+/** Removes back ends that have ended or whose leases have expired; their ranges become unowned. */
 export interface UnregisterCommand {
   readonly kind: 'unregister';
   readonly sessions: readonly InstanceSession[];
 }
 
-/** A back end under one registration. */
+/** Identifies one registration of a back end. */
 export interface InstanceSession {
   readonly id: string;
   readonly session: number;
 }
 
-/** Keys from `from` to `to`, both included. */
+/** Range of keys from `from` to `to`, both inclusive. */
 export interface KeySpan {
   readonly from: number;
   readonly to: number;
 }
 
-/** Gives ranges without owner to back ends; cuts ranges where needed. */
+/** Assigns unowned ranges to back ends; ranges are split where needed. */
 export interface AssignRangesCommand {
   readonly kind: 'assign-ranges';
   readonly service: string;
   readonly assignments: readonly (KeySpan & { readonly owner: string })[];
 }
 
-/** Starts moves; the owner keeps each range until it has released it. */
+/** Starts moves. The owner keeps each range until it releases it. */
 export interface BeginRangeMovesCommand {
   readonly kind: 'begin-range-moves';
   readonly service: string;
   readonly moves: readonly (KeySpan & { readonly target: string })[];
 }
 
-/** The owner has released a range; the target owns it from now on. */
+/** Completes a move after the owner released the range; the target becomes the owner. */
 export interface CompleteRangeMoveCommand extends KeySpan {
   readonly kind: 'complete-range-move';
   readonly service: string;
@@ -81,8 +81,8 @@
 }
 
 /**
- * Raises the fence of a range that stays where it is, so that its owner can be made to refuse grants that were sent
- * under the earlier fence and may still be on their way.
+ * Raises the fence of a range without changing its owner, so that the owner can be made to reject grants that were
+ * sent under the earlier fence and may still be in flight.
  */
 export interface RaiseFenceCommand extends KeySpan {
   readonly kind: 'raise-fence';
@@ -91,14 +91,14 @@
   readonly fence: number;
 }
 
-/** The back ends of a zone are to be sent nothing, or may be sent requests again. */
+/** Starts or ends the evacuation of a zone; the back ends of an evacuated zone receive no requests. */
 export interface SetEvacuationCommand {
   readonly kind: 'set-evacuation';
   readonly zone: string;
   readonly evacuated: boolean;
 }
 
-/** Commands of a directory. */
+/** A command of the directory's state machine. */
 export type DirectoryCommand =
   | ConfigureItemsCommand
   | ConfigureRevisionCommand
@@ -112,24 +112,24 @@
   | SetEvacuationCommand
   | CrashCommand;
 
-/** What a command did. */
+/** Result of applying a command. */
 export type DirectoryOutcome =
   | { readonly kind: 'done' }
   | { readonly kind: 'conflict'; readonly present: number }
   | { readonly kind: 'invalid'; readonly detail: string }
   | { readonly kind: 'registered'; readonly session: number };
 
-/** What a committed command changed, for daemons that watch. */
+/** A change made by a committed command, as published to watching daemons. */
 export type DirectoryChange =
   | { readonly kind: 'items'; readonly items: readonly ConfigurationItem[] }
   | { readonly kind: 'instance'; readonly instance: BackendInstance }
   | { readonly kind: 'instance-gone'; readonly id: string }
   | { readonly kind: 'evacuation'; readonly zone: string; readonly evacuated: boolean }
-  /** Records of requests under which back ends ended; those whose fingerprints are `removed` hold nothing any more. */
+  /** Records of requests during which back ends ended; `removed` lists fingerprints that no longer hold requests. */
   | {
       readonly kind: 'crash-records';
       readonly changed: readonly CrashRecord[];
       readonly removed: readonly string[];
     }
-  /** These ranges stand in the place of those that they overlap; the others are as they were. */
+  /** Ranges that replace those they overlap; all other ranges are unchanged. */
   | { readonly kind: 'ranges'; readonly service: string; readonly ranges: readonly KeyRange[] };
--- a/src/directory/directory-leader.ts
+++ b/src/directory/directory-leader.ts
@@ -1,8 +1,8 @@
-/** The leader's part of a directory: registers back ends, renews their leases and ends those that ran out. */
+/** Leader-only part of a directory: registers back ends, renews their leases and ends expired ones. */
 import { answerRunRequest, type RunRequestPorts } from '../quarantine/crash-messages.js';
 import type { Proposals } from '../control/proposals.js';
 import type { LeaseTable } from '../control/lease-table.js';
-import type { DirectoryDuties } from './directory-duties.js';
+import type { RangePlanningLoop } from './range-planning-loop.js';
 import type { DirectoryCommand, DirectoryOutcome, InstanceSession } from './directory-commands.js';
 import type {
   DirectoryNotice,
@@ -14,28 +14,28 @@
 import type { BackendInstance, DirectoryState } from './directory-state.js';
 import type { LeadershipConfirmations } from './leadership-confirmations.js';
 
-/** Time in ms after which a daemon that asked for a lease asks again anyway. */
-const CONFIRMATION_LIMIT_MS = 5_000;
+/** Timeout in ms of the leadership confirmation for a lease; by then the daemon has sent its request again. */
+const CONFIRMATION_TIMEOUT_MS = 5_000;
 
-/** Sends an answer to the daemon that asked. */
-export type Answer = (notice: DirectoryNotice) => void;
+/** Sends an answer to the requesting daemon. */
+export type SendAnswer = (notice: DirectoryNotice) => void;
 
-/** What the leader needs of its replica. */
+/** Functions of the replica that the leader depends on. */
 export interface DirectoryLeaderPorts {
   readonly state: () => DirectoryState;
   /** Index of the newest change in `state`. */
   readonly newestIndex: () => number;
   readonly nowMs: () => number;
-  /** Time that certainly has passed, in ms: leases of others end by it. */
+  /** Time in ms that has certainly passed (excludes suspensions); leases of back ends expire by it. */
   readonly steadyMs: () => number;
-  /** Whether acknowledged entries survive the losses that are tolerated. */
+  /** Whether acknowledged entries survive the tolerated number of disk losses. */
   readonly durable: () => boolean;
   readonly onExpired: (sessions: readonly InstanceSession[]) => void;
 }
 
-/** Registrations and leases of one leader. */
+/** Manages registrations and leases on the leader. */
 export class DirectoryLeader {
-  private readonly closing = new Set<number>();
+  private readonly endingSessions = new Set<number>();
   private readonly runRequests: RunRequestPorts = {
     records: () => this.ports.state().crashRecords,
     propose: async (command) => {
@@ -45,25 +45,25 @@
   };
 
   constructor(
-    /** Time in ms for which a renewal is good at the holder. */
+    /** Lease term in ms, as counted by the holder. */
     private readonly termMs: number,
-    /** Leases as the leader counts them: from receipt, and longer than the holder's. */
+    /** Leases as counted by the leader: from receipt of the request, with a longer term than the holder's. */
     private readonly leases: LeaseTable,
     private readonly ports: DirectoryLeaderPorts,
     private readonly proposals: Proposals<DirectoryCommand, DirectoryOutcome>,
     private readonly confirmations: LeadershipConfirmations,
-    private readonly duties: DirectoryDuties,
+    private readonly rangePlanning: RangePlanningLoop,
   ) {}
 
-  /** This replica has become leader and its state is current: every lease is good for one whole term. */
+  /** Restarts every lease with a full term, once this replica has become leader and its state is current. */
   startLeading(): void {
-    this.closing.clear();
+    this.endingSessions.clear();
     const sessions = [...this.ports.state().instances.values()].map(({ session }) => session);
     this.leases.restart(sessions, this.ports.steadyMs());
   }
 
-  /** Takes a request of a daemon. */
-  async receive(request: LeaderRequest, answer: Answer): Promise<void> {
+  /** Handles a request from a daemon. */
+  async receive(request: LeaderRequest, answer: SendAnswer): Promise<void> {
     if (!this.ports.durable()) return;
     switch (request.kind) {
       case 'register':
@@ -89,8 +89,8 @@
     }
   }
 
-  /** Ends registrations whose lease has run out. */
-  expire(): void {
+  /** Ends registrations whose lease has expired. */
+  expireLeases(): void {
     const bySession = new Map(
       [...this.ports.state().instances.values()].map((known) => [known.session, known]),
     );
@@ -106,12 +106,12 @@
     this.end(ended);
   }
 
-  private async register(request: RegisterRequest, answer: Answer): Promise<void> {
+  private async register(request: RegisterRequest, answer: SendAnswer): Promise<void> {
     const { instance, replaces, sentMs } = request;
     const receivedMs = this.ports.steadyMs();
     const known = this.ports.state().instances.get(instance.id);
     const index = known === undefined ? 0 : this.ports.newestIndex();
-    if (known !== undefined && this.closing.has(known.session)) return;
+    if (known !== undefined && this.endingSessions.has(known.session)) return;
     if (known === undefined || !isSameRegistration(known, instance)) {
       const result = await this.proposals.propose({ kind: 'register', instance, replaces });
       if (result.err || result.val.kind !== 'registered') return;
@@ -129,22 +129,25 @@
     await this.grant(lease, receivedMs, answer);
   }
 
-  private async renew(request: RenewRequest, answer: Answer): Promise<void> {
+  private async renew(request: RenewRequest, answer: SendAnswer): Promise<void> {
     const { id, session, sentMs, load } = request;
     const receivedMs = this.ports.steadyMs();
     const known = this.ports.state().instances.get(id);
     const index = this.ports.newestIndex();
-    if (known?.session === session) this.duties.reportLoad(known.service, load, this.ports.nowMs());
+    if (known?.session === session) this.rangePlanning.reportLoad(known.service, load, this.ports.nowMs());
     const lease = { kind: 'renewed', id, session, sentMs, termMs: this.termMs, index } as const;
     await this.grant(lease, receivedMs, answer);
   }
 
-  /** A newer leader was elected after this confirmation, so the whole term that it waits covers the lease. */
-  private async grant(lease: LeaseNotice, receivedMs: number, answer: Answer): Promise<void> {
+  /**
+   * Grants a lease once leadership is confirmed. Any newer leader is elected after this confirmation and waits a full
+   * term before it expires leases, so the lease stays valid across a change of leader.
+   */
+  private async grant(lease: LeaseNotice, receivedMs: number, answer: SendAnswer): Promise<void> {
     const { id, session } = lease;
-    if (!(await this.confirmations.confirm(CONFIRMATION_LIMIT_MS))) return;
-    const stands = this.ports.state().instances.get(id)?.session === session;
-    if (!stands || this.closing.has(session)) {
+    if (!(await this.confirmations.confirm(CONFIRMATION_TIMEOUT_MS))) return;
+    const isCurrent = this.ports.state().instances.get(id)?.session === session;
+    if (!isCurrent || this.endingSessions.has(session)) {
       answer({ kind: 'session-ended', id, session });
       return;
     }
@@ -152,15 +155,15 @@
     answer(lease);
   }
 
-  /** Once this is proposed the sessions must never be renewed again, whatever becomes of the proposal. */
+  /** Proposes the end of sessions. From then on they are never renewed again, whether or not the proposal commits. */
   private end(sessions: readonly InstanceSession[]): void {
-    for (const { session } of sessions) this.closing.add(session);
+    for (const { session } of sessions) this.endingSessions.add(session);
     void this.proposals.propose({ kind: 'unregister', sessions });
   }
 }
 
-function isSameRegistration(known: BackendInstance, asked: RegisterRequest['instance']): boolean {
-  const sameCondition = known.condition === asked.condition || known.condition === 'draining';
-  const sameSoftware = known.slots === asked.slots && known.version === asked.version;
-  return sameCondition && sameSoftware && known.daemonAddress === asked.daemonAddress;
+function isSameRegistration(current: BackendInstance, requested: RegisterRequest['instance']): boolean {
+  const sameCondition = current.condition === requested.condition || current.condition === 'draining';
+  const sameSoftware = current.slots === requested.slots && current.version === requested.version;
+  return sameCondition && sameSoftware && current.daemonAddress === requested.daemonAddress;
 }
--- a/src/directory/directory-machine.ts
+++ b/src/directory/directory-machine.ts
@@ -1,6 +1,6 @@
 /**
- * Applies committed commands to the directory's state. Deterministic: the same commands in the same order give
- * the same state on every replica. A command that no longer fits the state does nothing.
+ * Applies committed commands to the directory's state. Deterministic: the same commands in the same order produce
+ * the same state on every replica. A command that no longer applies to the state has no effect.
  */
 import { applyCrashCommand, withdrawPermits, type CrashCommand } from '../quarantine/crash-commands.js';
 import type { CrashRecord } from '../quarantine/crash-records.js';
@@ -29,12 +29,12 @@
   type DirectoryState,
   type KeyRange,
 } from './directory-state.js';
-import { changeSpan, changedRanges, joinNeighbours, unownedRanges } from './key-ranges.js';
+import { changeSpan, changedRanges, mergeAdjacentRanges, unownedRanges } from './key-ranges.js';
 
-/** Accepted revisions that are remembered, so that a resend gets the same answer. */
-const REMEMBERED_REVISIONS = 1_024;
+/** Maximum number of accepted changes retained, so that a resend gets the same answer. */
+const MAX_ACCEPTED_REVISIONS = 1_024;
 
-/** What applying a command did. */
+/** Outcome of an applied command and the changes to publish. */
 export interface AppliedCommand {
   readonly outcome: DirectoryOutcome;
   readonly changes: readonly DirectoryChange[];
@@ -42,7 +42,7 @@
 
 const DONE: DirectoryOutcome = { kind: 'done' };
 
-/** Applies one command that was committed at `index`. */
+/** Applies a command committed at log index `index`. */
 export function applyDirectoryCommand(
   state: DirectoryState,
   command: DirectoryCommand,
@@ -74,7 +74,7 @@
   }
 }
 
-// ---- requests under which back ends ended
+// ---- crash records: requests during which back ends ended
 
 function changeCrashRecords(state: DirectoryState, command: CrashCommand, index: number): AppliedCommand {
   const { outcome, changed, removed } = applyCrashCommand(state.crashRecords, command, index);
@@ -85,9 +85,9 @@
   return changed.length + removed.length === 0 ? [] : [{ kind: 'crash-records', changed, removed }];
 }
 
-/** What is gone runs nothing any more. */
-function endPermits(state: DirectoryState, lives: readonly string[]): DirectoryChange[] {
-  return crashChanges(withdrawPermits(state.crashRecords, new Set(lives)), []);
+/** Revokes the run permits of incarnations that have ended. */
+function revokePermits(state: DirectoryState, instanceIds: readonly string[]): DirectoryChange[] {
+  return crashChanges(withdrawPermits(state.crashRecords, new Set(instanceIds)), []);
 }
 
 // ---- configuration
@@ -98,7 +98,7 @@
   index: number,
 ): AppliedCommand {
   const { digest } = command;
-  // Later changes may have dropped what it names; it was valid when it was taken, and stays taken.
+  // A resend is not validated again: it was valid when accepted, though later changes may have dropped its services.
   if (state.accepted.some((known) => known.digest === digest)) return unchanged(DONE);
   const newer = command.items.filter((item) => {
     const present = state.items.get(itemKey(item.kind, item.name));
@@ -107,7 +107,7 @@
   const problem = findUnknownService(state, command.items, false);
   if (problem !== null) return unchanged({ kind: 'invalid', detail: problem });
   state.configured = true;
-  if (digest !== undefined) accept(state, { version: newestVersion(command.items), digest });
+  if (digest !== undefined) recordAccepted(state, { version: newestVersion(command.items), digest });
   return putItems(state, newer, index);
 }
 
@@ -117,8 +117,8 @@
   index: number,
 ): AppliedCommand {
   const { version, digest } = command;
-  const sentAgain = state.accepted.some((known) => known.version === version && known.digest === digest);
-  if (sentAgain) return unchanged(DONE);
+  const isResend = state.accepted.some((known) => known.version === version && known.digest === digest);
+  if (isResend) return unchanged(DONE);
   if (command.base !== state.revision) return unchanged({ kind: 'conflict', present: state.revision });
   if (version <= state.revision) {
     return unchanged({ kind: 'invalid', detail: `version ${version} is not above ${state.revision}` });
@@ -127,13 +127,13 @@
   if (problem !== null) return unchanged({ kind: 'invalid', detail: problem });
   state.revision = version;
   state.configured = true;
-  accept(state, { version, digest });
+  recordAccepted(state, { version, digest });
   const dropped = command.replacesAll ? droppedItems(state, command) : [];
   return putItems(state, [...dropped, ...command.items], index);
 }
 
-function accept(state: DirectoryState, change: AcceptedRevision): void {
-  state.accepted = [...state.accepted, change].slice(-REMEMBERED_REVISIONS);
+function recordAccepted(state: DirectoryState, change: AcceptedRevision): void {
+  state.accepted = [...state.accepted, change].slice(-MAX_ACCEPTED_REVISIONS);
 }
 
 function newestVersion(items: readonly ConfigurationItem[]): number {
@@ -148,11 +148,11 @@
 }
 
 function putItems(state: DirectoryState, items: readonly ConfigurationItem[], index: number): AppliedCommand {
-  const granted = items.filter((item) => changesGrantMode(state, item)).map(({ name }) => name);
+  const grantModeChanges = items.filter((item) => changesGrantMode(state, item)).map(({ name }) => name);
   for (const item of items) state.items.set(itemKey(item.kind, item.name), item);
   const changes: DirectoryChange[] = items.length === 0 ? [] : [{ kind: 'items', items }];
   changes.push(...addKeyedServices(state, items));
-  for (const service of granted) changes.push(...raiseFences(state, service, index));
+  for (const service of grantModeChanges) changes.push(...raiseFences(state, service, index));
   return { outcome: DONE, changes };
 }
 
@@ -162,7 +162,10 @@
   return present !== null && present.grantMode !== item.definition.grantMode;
 }
 
-/** A grant that was sent the other way, and may still be taken, is under an older fence than all that is granted from now on. */
+/**
+ * Raises the fences of all owned ranges after a change of grant mode. Grants that were sent in the previous mode may
+ * still be accepted; this puts them under an older fence than every grant from now on.
+ */
 function raiseFences(state: DirectoryState, service: string, index: number): DirectoryChange[] {
   const ranges = state.ranges.get(service);
   if (ranges === undefined) return [];
@@ -179,21 +182,21 @@
   return changes;
 }
 
-/** Every destination of a route must be a service that stands after the change. */
+/** Describes the first route destination that is not a defined service after the change; null when there is none. */
 function findUnknownService(
   state: DirectoryState,
   items: readonly ConfigurationItem[],
   replacesAll: boolean,
 ): string | null {
-  const inCall = new Map(items.map((item) => [itemKey(item.kind, item.name), item]));
-  const stands = (service: string): boolean => {
+  const inCommand = new Map(items.map((item) => [itemKey(item.kind, item.name), item]));
+  const isDefined = (service: string): boolean => {
     const key = itemKey('service', service);
-    const item = inCall.get(key) ?? (replacesAll ? undefined : state.items.get(key));
+    const item = inCommand.get(key) ?? (replacesAll ? undefined : state.items.get(key));
     return item !== undefined && item.definition !== null;
   };
   for (const item of items) {
     if (item.kind !== 'route') continue;
-    const unknown = item.definition?.destinations.find(({ service }) => !stands(service));
+    const unknown = item.definition?.destinations.find(({ service }) => !isDefined(service));
     if (unknown !== undefined) return `route ${item.name} names the unknown service ${unknown.service}`;
   }
   return null;
@@ -206,16 +209,16 @@
   { instance, replaces }: RegisterCommand,
   index: number,
 ): AppliedCommand {
-  const others = otherLives(state, instance);
-  // A registration that was held up on its way must not end a life that has begun since.
+  const others = otherInstancesAtDaemon(state, instance);
+  // A registration that was delayed in the network must not end an incarnation that started after it was sent.
   if (replaces !== undefined && others.some(({ id }) => id !== replaces)) {
-    return unchanged({ kind: 'invalid', detail: 'another life is registered at its daemon' });
+    return unchanged({ kind: 'invalid', detail: 'another incarnation is registered at the same daemon' });
   }
   const known = state.instances.get(instance.id);
   const session = known?.session ?? index;
   const condition = known?.condition === 'draining' ? 'draining' : instance.condition;
   const registered = { ...instance, condition, session };
-  const ended = endLives(state, others, index);
+  const ended = endInstances(state, others, index);
   state.instances.set(instance.id, registered);
   return {
     outcome: { kind: 'registered', session },
@@ -223,8 +226,8 @@
   };
 }
 
-/** A daemon has one back end beside it: a new life there shows that the earlier one has ended. */
-function otherLives(
+/** Other incarnations at the same daemon. A daemon serves one back end, so a new incarnation means they have ended. */
+function otherInstancesAtDaemon(
   state: DirectoryState,
   { id, daemonAddress }: RegisterCommand['instance'],
 ): BackendInstance[] {
@@ -233,17 +236,17 @@
   );
 }
 
-function endLives(
+function endInstances(
   state: DirectoryState,
-  lives: readonly BackendInstance[],
+  instances: readonly BackendInstance[],
   index: number,
 ): DirectoryChange[] {
   const changes: DirectoryChange[] = [];
-  for (const earlier of lives) {
+  for (const earlier of instances) {
     state.instances.delete(earlier.id);
     changes.push({ kind: 'instance-gone', id: earlier.id });
-    changes.push(...withdrawRanges(state, earlier.service, earlier.id, index));
-    changes.push(...endPermits(state, [earlier.id]));
+    changes.push(...removeInstanceFromRanges(state, earlier.service, earlier.id, index));
+    changes.push(...revokePermits(state, [earlier.id]));
   }
   return changes;
 }
@@ -262,30 +265,31 @@
     const known = state.instances.get(id);
     if (known?.session !== session) continue;
     state.instances.delete(id);
-    changes.push({ kind: 'instance-gone', id }, ...withdrawRanges(state, known.service, id, index));
-    changes.push(...endPermits(state, [id]));
+    changes.push({ kind: 'instance-gone', id }, ...removeInstanceFromRanges(state, known.service, id, index));
+    changes.push(...revokePermits(state, [id]));
   }
   return { outcome: DONE, changes };
 }
 
 /**
- * A move that is called off ends its fence as well: the owner may have released the keys already, and its word on that,
- * which names the fence, would end a later move of the same keys.
+ * Makes the ranges of a removed back end unowned and cancels moves to it. A cancelled move also gets a new fence: the
+ * owner may already have released the keys, and its report, which names the old fence, would otherwise complete a later
+ * move of the same keys.
  */
-function withdrawRanges(
+function removeInstanceFromRanges(
   state: DirectoryState,
   service: string,
   id: string,
   index: number,
 ): DirectoryChange[] {
   const ranges = state.ranges.get(service);
-  const concerned = ranges?.some(({ owner, movingTo }) => owner === id || movingTo === id) ?? false;
-  if (ranges === undefined || !concerned) return [];
-  const withdrawn = ranges.map((range): KeyRange => {
+  const isAffected = ranges?.some(({ owner, movingTo }) => owner === id || movingTo === id) ?? false;
+  if (ranges === undefined || !isAffected) return [];
+  const updated = ranges.map((range): KeyRange => {
     if (range.owner === id) return { ...range, owner: null, session: 0, movingTo: null, handover: '' };
     return range.movingTo === id ? { ...range, movingTo: null, fence: index } : range;
   });
-  return [putRanges(state, service, withdrawn)];
+  return [putRanges(state, service, updated)];
 }
 
 function setEvacuation(state: DirectoryState, { zone, evacuated }: SetEvacuationCommand): AppliedCommand {
@@ -325,7 +329,7 @@
   return { outcome: DONE, changes: [putRanges(state, command.service, ranges)] };
 }
 
-/** The released span may be a part of the moving range, when the owner let go of it piece by piece. */
+/** Completes a move for the released span, which may be only part of the moving range: owners may release in pieces. */
 function completeMove(
   state: DirectoryState,
   command: CompleteRangeMoveCommand,
@@ -335,9 +339,9 @@
   if (ranges === undefined) return unchanged(DONE);
   const span: KeySpan = command;
   const changed = changeSpan(ranges, span, (range) => {
-    const released = range.owner === command.owner && range.fence === command.fence;
-    if (!released || range.movingTo === null) return range;
-    return releasedRange(state, range, command.handover, index);
+    const isOwnedUnderFence = range.owner === command.owner && range.fence === command.fence;
+    if (!isOwnedUnderFence || range.movingTo === null) return range;
+    return completeRange(state, range, command.handover, index);
   });
   return { outcome: DONE, changes: [putRanges(state, command.service, changed)] };
 }
@@ -346,13 +350,13 @@
   const ranges = state.ranges.get(command.service);
   if (ranges === undefined) return unchanged(DONE);
   const changed = changeSpan(ranges, command, (range) => {
-    const concerned = range.owner === command.owner && range.fence === command.fence;
-    return concerned ? { ...range, fence: index } : range;
+    const isOwnedUnderFence = range.owner === command.owner && range.fence === command.fence;
+    return isOwnedUnderFence ? { ...range, fence: index } : range;
   });
   return { outcome: DONE, changes: [putRanges(state, command.service, changed)] };
 }
 
-function releasedRange(state: DirectoryState, range: KeyRange, handover: string, index: number): KeyRange {
+function completeRange(state: DirectoryState, range: KeyRange, handover: string, index: number): KeyRange {
   const target = range.movingTo === null ? undefined : state.instances.get(range.movingTo);
   if (target === undefined) return { ...range, owner: null, session: 0, movingTo: null, handover };
   return { ...range, owner: target.id, session: target.session, fence: index, movingTo: null, handover };
@@ -360,9 +364,9 @@
 
 function putRanges(state: DirectoryState, service: string, ranges: readonly KeyRange[]): DirectoryChange {
   const before = state.ranges.get(service) ?? [];
-  const joined = joinNeighbours(ranges);
-  state.ranges.set(service, joined);
-  return { kind: 'ranges', service, ranges: changedRanges(before, joined) };
+  const merged = mergeAdjacentRanges(ranges);
+  state.ranges.set(service, merged);
+  return { kind: 'ranges', service, ranges: changedRanges(before, merged) };
 }
 
 function unchanged(outcome: DirectoryOutcome): AppliedCommand {
--- a/src/directory/directory-membership.ts
+++ b/src/directory/directory-membership.ts
@@ -1,22 +1,22 @@
 /**
- * Membership of the replicas of a directory, whose machines come and go. A newcomer becomes a learner and then a
- * voter, as in `consensus/join-core.ts`; a voter that has fallen silent leaves only when a newcomer that holds the
- * log stands ready to take its place.
+ * Membership of the replicas of a directory, whose machines may be replaced at any time. A joining replica becomes a
+ * learner and then a voter, as in `consensus/join-core.ts`; an unresponsive voter is removed only when a learner that
+ * holds the log is ready to replace it.
  */
 import { nextMembership, type JoinView } from '../consensus/join-core.js';
 import type { Membership, ReplicaId } from '../consensus/raft-types.js';
 
-/** What the leader knows. */
+/** The leader's view of the membership and of the replicas' progress. */
 export interface DirectoryMembershipView extends JoinView {
-  /** Replicas that asked to join, in the order in which they first asked. */
+  /** Replicas that requested to join, in the order of their first requests. */
   readonly candidates: readonly ReplicaId[];
-  /** Most voters; further replicas stay learners. */
+  /** Maximum number of voters; further replicas stay learners. */
   readonly maxVoters: number;
-  /** Whether a voter has been silent for so long that it may be replaced. */
+  /** Whether a replica has been unresponsive for long enough to be replaced. */
   readonly isLost: (id: ReplicaId) => boolean;
 }
 
-/** The next membership, or null when there is nothing to do now. */
+/** Returns the next membership to propose, or null when no change is needed now. */
 export function nextDirectoryMembership(view: DirectoryMembershipView): Membership | null {
   for (const candidate of view.candidates) {
     const membership = nextMembership(candidate, view);
@@ -28,7 +28,7 @@
   return withoutLostLearner(view);
 }
 
-/** A newcomer is caught up, but the places of voters are taken: a lost voter gives way. */
+/** Removes one lost voter, to make room for a learner that has caught up while the maximum of voters is reached. */
 function withoutLostVoter({ membership, isLost }: DirectoryMembershipView): Membership | null {
   const lost = membership.voters.find(isLost);
   if (lost === undefined) return null;
--- a/src/directory/directory-messages.ts
+++ b/src/directory/directory-messages.ts
@@ -1,4 +1,4 @@
-/** Messages between directory replicas and the daemons beside back ends, and between replicas. */
+/** Messages between directory replicas and sidecars, and relayed messages between replicas. */
 import * as z from 'zod/mini';
 import {
   backendEndedSchema,
@@ -22,16 +22,16 @@
 
 const watchSchema = z.object({
   kind: z.literal('watch'),
-  /** Newest index that the daemon holds; 0 for none. */
+  /** Newest index that the daemon holds; 0 when it holds no table. */
   fromIndex: z.number(),
 });
 
 const registerSchema = z.object({
   kind: z.literal('register'),
   instance: instanceSchema,
-  /** Other life that the daemon knows to be registered at its address, null for none; missing where it does not tell. */
+  /** Id of the other incarnation that the daemon knows at its address; null for none, missing if not reported. */
   replaces: z.optional(z.nullable(z.string())),
-  /** The daemon's clock when it sent this; comes back unchanged. */
+  /** The daemon's clock when it sent the request; echoed in the answer. */
   sentMs: z.number(),
 });
 
@@ -39,9 +39,9 @@
   kind: z.literal('renew'),
   id: z.string(),
   session: z.number(),
-  /** The daemon's clock when it sent this; comes back unchanged. */
+  /** The daemon's clock when it sent the request; echoed in the answer. */
   sentMs: z.number(),
-  /** Slot time used since the last report, as [bucket of keys, ms]. */
+  /** Slot time used since the last report, as pairs of [key bucket, ms]. */
   load: z.array(z.tuple([z.number(), z.number()])),
 });
 
@@ -90,45 +90,45 @@
   permitReleasedSchema,
 ]);
 
-/** What a daemon may send to any replica. */
+/** Schema of the requests that a daemon may send to any replica. */
 export const directoryRequestSchema = z.discriminatedUnion('kind', [watchSchema, leaderRequestSchema]);
 
-/** What a daemon may send to any replica. */
+/** A request that a daemon may send to any replica. */
 export type DirectoryRequest = z.infer<typeof directoryRequestSchema>;
-/** Requests that only the leader can answer; other replicas relay them. */
+/** A request that only the leader can answer; other replicas relay it. */
 export type LeaderRequest = z.infer<typeof leaderRequestSchema>;
-/** Registers a back end. */
+/** Request to register a back end. */
 export type RegisterRequest = z.infer<typeof registerSchema>;
-/** Renews the lease of a back end. */
+/** Request to renew the lease of a back end. */
 export type RenewRequest = z.infer<typeof renewSchema>;
 
-/** The lease of a registered back end is good for `termMs`, counted from when the daemon asked. */
+/** Grants or renews a lease that is valid for `termMs`, counted from when the daemon sent its request. */
 export interface LeaseNotice {
   readonly kind: 'registered' | 'renewed';
   readonly id: string;
   readonly session: number;
-  /** When the daemon asked, on its own clock. */
+  /** Time of the daemon's request on the daemon's clock. */
   readonly sentMs: number;
   readonly termMs: number;
-  /** Index of the newest change that the leader held when it was asked; 0 where the session begins with this. */
+  /** Index of the leader's newest change when it received the request; 0 when this notice starts the session. */
   readonly index: number;
 }
 
-/** What a replica sends to a daemon. */
+/** A notice from a replica to a daemon. */
 export type DirectoryNotice =
   | { readonly kind: 'table'; readonly index: number; readonly table: DirectorySnapshot }
   | { readonly kind: 'changes'; readonly index: number; readonly changes: readonly DirectoryChange[] }
-  /** The replica hears a leader; `members` are the addresses of all replicas. */
+  /** Heartbeat of a replica that has contact with a leader; `members` are the addresses of all replicas. */
   | { readonly kind: 'alive'; readonly index: number; readonly members: readonly string[] }
   | { readonly kind: 'watch-refused'; readonly reason: 'behind' | 'no-leader' }
   | LeaseNotice
   | { readonly kind: 'session-ended'; readonly id: string; readonly session: number }
   | RunNotice;
 
-/** A daemon's request that a replica passes on to the leader. */
+/** A daemon's request that a replica relays to the leader. */
 export interface RelayedRequest {
   readonly kind: 'relayed-request';
-  /** Address of the replica that relays, for the answer. */
+  /** Address of the relaying replica, to which the answer is sent. */
   readonly origin: string;
   readonly token: number;
   readonly request: LeaderRequest;
@@ -156,7 +156,7 @@
 
 const relaySchema = z.discriminatedUnion('kind', [relayedRequestSchema, relayedNoticeSchema]);
 
-/** The relayed message, or null when it is none. */
+/** Parses a relayed message; null when it is not one. */
 export function readRelayMessage(message: unknown): RelayedRequest | RelayedNotice | null {
   const parsed = relaySchema.safeParse(message);
   return parsed.success ? (parsed.data as RelayedRequest | RelayedNotice) : null;
--- a/src/directory/directory-metrics.ts
+++ b/src/directory/directory-metrics.ts
@@ -1,9 +1,9 @@
-/** The figures of a directory replica. */
+/** Metrics of a directory replica. */
 import { crashStages } from '../quarantine/crash-report.js';
 import type { DaemonMetrics } from '../telemetry/daemon-metrics.js';
 import type { DirectoryNode } from './directory-node.js';
 
-/** Adds the figures of a replica to its metrics. */
+/** Registers the metrics of a replica. */
 export function exposeDirectory(metrics: DaemonMetrics, node: DirectoryNode): void {
   metrics.value('raft_term', 'Current term', () => node.consensus?.core.term ?? 0);
   metrics.value('raft_is_leader', '1 when this replica leads', () => Number(node.leading));
--- a/src/directory/directory-node.ts
+++ b/src/directory/directory-node.ts
@@ -1,4 +1,4 @@
-/** One replica of a directory: joins storage, consensus, connections and the duties of a leader. */
+/** One replica of a directory: connects storage, consensus, connections and the leader's tasks. */
 import { FormationCore } from '../consensus/formation-core.js';
 import { Replica, type ReplicaPorts, type StateMachine } from '../consensus/replica.js';
 import {
@@ -22,12 +22,12 @@
 import { NO_LATENCIES, type Latencies } from '../telemetry/latencies.js';
 import { ChangeFeed } from './change-feed.js';
 import type { DirectoryCommand, DirectoryOutcome } from './directory-commands.js';
-import { DirectoryDuties } from './directory-duties.js';
+import { RangePlanningLoop } from './range-planning-loop.js';
 import { CrashDuties } from '../quarantine/crash-duties.js';
 import { DirectoryLeader } from './directory-leader.js';
 import { applyDirectoryCommand } from './directory-machine.js';
 import { directoryRequestSchema, readRelayMessage } from './directory-messages.js';
-import { LEASE_DRIFT_SHARE, type DirectorySettings } from './directory-settings.js';
+import { LEASE_DRIFT_ALLOWANCE, type DirectorySettings } from './directory-settings.js';
 import {
   decodeDirectory,
   emptyDirectoryState,
@@ -35,39 +35,39 @@
   type DirectorySnapshot,
   type DirectoryState,
 } from './directory-state.js';
-import { DirectoryReports } from './directory-reports.js';
-import { LeaderRequests } from './leader-requests.js';
+import { DirectoryReporter } from './directory-reporter.js';
+import { LeaderRequestRelay } from './leader-request-relay.js';
 import { LeadershipConfirmations } from './leadership-confirmations.js';
-import { MembershipKeeper } from './membership-keeper.js';
-import { ANSWER_LIMIT_MS, itemsOf, OperatorChanges } from './operator-changes.js';
+import { MembershipManager } from './membership-manager.js';
+import { ANSWER_TIMEOUT_MS, changedItems, OperatorChanges } from './operator-changes.js';
 import { ReplicaDialer } from './replica-dialer.js';
 
-/** Pause between questions while the replicas are being formed, in ms. */
-const FORMATION_RETRY_MS = 100;
+/** Interval in ms between formation queries while the initial membership is undecided. */
+const FORMATION_RETRY_INTERVAL_MS = 100;
 
-/** Pause between requests to be made a member, in ms. */
-const JOIN_RETRY_MS = 300;
+/** Interval in ms between join requests. */
+const JOIN_RETRY_INTERVAL_MS = 300;
 
-/** Pause between signs of life to watchers, in ms. */
-const ALIVE_MS = 250;
+/** Interval in ms between heartbeats to watchers. */
+const WATCHER_HEARTBEAT_INTERVAL_MS = 250;
 
-/** A replica that heard no leader, or missed what was committed, for this many election timeouts serves no watchers. */
+/** Number of election timeouts without contact to a leader, or behind the committed log, after which watchers are refused. */
 const STALE_ELECTION_TIMEOUTS = 2;
 
-/** What a replica is started with. */
+/** Options of a directory replica. */
 export interface DirectoryNodeOptions {
   readonly settings: DirectorySettings;
   readonly token: string;
   readonly runtime: Runtime;
   readonly storage: ReplicaStore;
   readonly log: EventLog;
-  /** Takes the steps of changes; nobody where it is left out. */
+  /** Receives the durations of the steps of configuration changes; they are discarded when this is left out. */
   readonly latencies?: Latencies;
-  /** Called once when the disk fails. */
+  /** Called once on a disk failure. */
   readonly onFatal: (error: unknown) => void;
 }
 
-/** Why the configuration cannot be read here. */
+/** Reason why the configuration cannot be read from this replica. */
 export type ReadError =
   { readonly kind: 'elsewhere'; readonly leader: string } | { readonly kind: 'unavailable' };
 
@@ -75,23 +75,23 @@
 export class DirectoryNode implements StateMachine {
   readonly feed = new ChangeFeed();
   readonly id: ReplicaId;
-  /** This replica's address. */
+  /** Address of this replica, which is also its name. */
   readonly name: string;
-  private current: DirectoryState = emptyDirectoryState();
+  private currentState: DirectoryState = emptyDirectoryState();
   private appliedIndex = 0;
   private readonly proposals: Proposals<DirectoryCommand, DirectoryOutcome>;
   private readonly changes: OperatorChanges;
   private readonly confirmations: LeadershipConfirmations;
-  private readonly duties: DirectoryDuties;
+  private readonly rangePlanning: RangePlanningLoop;
   private readonly crashDuties: CrashDuties;
   private readonly leader: DirectoryLeader;
   private readonly listener: Listener;
   private readonly dialer: ReplicaDialer;
   private readonly formation: FormationCore | null;
-  private readonly leaderRequests: LeaderRequests;
-  private readonly membership: MembershipKeeper;
+  private readonly leaderRequestRelay: LeaderRequestRelay;
+  private readonly membership: MembershipManager;
   private readonly timers: CancelTimer[] = [];
-  private readonly reports: DirectoryReports;
+  private readonly reporter: DirectoryReporter;
   private replica: Replica | null = null;
   private leadingTerm = 0;
   private readonly clockSkips: ClockSkips;
@@ -99,7 +99,7 @@
   private constructor(private readonly options: DirectoryNodeOptions) {
     const { settings, token, runtime, storage } = options;
     this.clockSkips = new ClockSkips(runtime);
-    this.reports = new DirectoryReports(options.log, options.latencies ?? NO_LATENCIES);
+    this.reporter = new DirectoryReporter(options.log, options.latencies ?? NO_LATENCIES);
     this.name = formatAddress(settings.advertised);
     this.id = `${this.name}/${storage.owner.identity}`;
     this.proposals = new Proposals(
@@ -109,39 +109,39 @@
         else this.replica.submit({ kind: 'propose', proposalId, command });
       },
       (command, steps) => {
-        const items = itemsOf(command).length;
-        if (items > 0) this.reports.changed(items, steps);
+        const items = changedItems(command).length;
+        if (items > 0) this.reporter.changed(items, steps);
       },
     );
     this.changes = new OperatorChanges(runtime, this.proposals);
     this.confirmations = new LeadershipConfirmations(runtime, (requestId) => {
       this.replica?.submit({ kind: 'confirm-leadership', requestId });
     });
-    this.duties = new DirectoryDuties(
-      () => this.current,
+    this.rangePlanning = new RangePlanningLoop(
+      () => this.currentState,
       this.proposals,
       (service, plan) => {
         this.options.log.event('ranges-planned', { service, ...plan });
       },
     );
     this.crashDuties = new CrashDuties(
-      () => this.current.crashRecords,
+      () => this.currentState.crashRecords,
       (command) => void this.proposals.propose(command),
     );
     this.leader = this.makeLeader();
-    const mayForm = storage.owner.founding === true && settings.seeds.includes(this.name);
-    this.formation = mayForm ? new FormationCore(this.name, this.id, settings.seeds) : null;
+    const mayFormMembership = storage.owner.founding === true && settings.seeds.includes(this.name);
+    this.formation = mayFormMembership ? new FormationCore(this.name, this.id, settings.seeds) : null;
     this.listener = runtime.serve(token, {
       onPeer: (hello, connection) => this.acceptPeer(hello.role === 'control', connection),
       onRefused: () => undefined,
     });
     const identity = { role: 'control', name: this.name, zone: settings.zone, token } as const;
     this.dialer = new ReplicaDialer(runtime, identity);
-    this.leaderRequests = this.makeLeaderRequests();
+    this.leaderRequestRelay = this.makeLeaderRequestRelay();
     this.membership = this.makeMembership();
   }
 
-  /** Starts on a disk that is already open. */
+  /** Starts a replica on storage that is already open. */
   static async start(options: DirectoryNodeOptions): Promise<Result<DirectoryNode, string>> {
     const node = new DirectoryNode(options);
     const listening = await node.listener.listen(options.settings.listen);
@@ -151,17 +151,17 @@
     return Ok(node);
   }
 
-  /** The replicated state as far as it is known here; not to be changed by readers. */
+  /** The replicated state as applied on this replica. Callers must not modify it. */
   get state(): DirectoryState {
-    return this.current;
+    return this.currentState;
   }
 
-  /** Whether this replica leads and its state is current. */
+  /** Whether this replica is the leader and its state is current. */
   get leading(): boolean {
     return this.replica?.leading === true && this.leadingTerm === this.replica.core.term;
   }
 
-  /** Whether a leader was heard lately, so that what is known here is not old. */
+  /** Whether there was recent contact with a leader. */
   get hearsLeader(): boolean {
     if (this.replica === null) return false;
     const { core } = this.replica;
@@ -169,68 +169,68 @@
     return core.leader !== null && this.options.runtime.nowMs() - core.leaderLastHeardMs < staleMs;
   }
 
-  /** Whether all that was committed a moment ago is held here, so that daemons may follow this replica. */
+  /** Whether this replica recently held everything that was committed, so that daemons may watch it. */
   get isCurrent(): boolean {
     if (this.replica === null || !this.hearsLeader) return false;
     const staleMs = STALE_ELECTION_TIMEOUTS * this.options.settings.timing.electionTimeoutMs;
     return this.options.runtime.nowMs() - this.replica.core.upToDateMs < staleMs;
   }
 
-  /** Address of the replica that leads, as far as is known here. */
+  /** Address of the leader known to this replica; null when it knows none. */
   get leaderAddress(): string | null {
     const leader = this.replica?.core.leader ?? null;
     return leader === null ? null : replicaName(leader);
   }
 
-  /** Address of another replica that leads and was heard lately; null where none is known. */
+  /** Address of the leader if it is another replica and was recently in contact; null otherwise. */
   get leaderElsewhere(): string | null {
     const { leaderAddress, hearsLeader, name } = this;
     return leaderAddress !== name && hearsLeader ? leaderAddress : null;
   }
 
-  /** The consensus replica; null while the replicas are being formed. */
+  /** The consensus replica; null until formation has finished. */
   get consensus(): Replica | null {
     return this.replica;
   }
 
-  /** Whether what is acknowledged now survives the losses that are tolerated. */
+  /** Whether entries acknowledged now survive the tolerated number of disk losses. */
   get durable(): boolean {
     const { toleratedLosses } = this.options.settings;
     const voters = this.replica?.core.committedMembership()?.voters.length ?? 0;
-    if (this.current.configured) return voters > 0;
+    if (this.currentState.configured) return voters > 0;
     return voters >= 2 * toleratedLosses + 1;
   }
 
   /**
-   * Proposes a command; it is durable on a quorum once an outcome is returned. What has none in time may be committed later,
-   * and is told as taken to whoever sends it again.
+   * Proposes a command. Once an outcome is returned, the command is durable on a quorum. A command without an outcome
+   * in time may still be committed later; a resend of it is then answered as accepted.
    */
   async propose(command: DirectoryCommand): Promise<Result<DirectoryOutcome, ProposalError>> {
     if (!this.leading || !this.durable) return Err({ kind: 'not-leader' });
     return await this.changes.propose(command);
   }
 
-  /** Whether a change is known here to be committed. */
+  /** Whether this replica knows that the change with this digest was committed. */
   hasAccepted(digest: string): boolean {
-    return this.current.accepted.some((change) => change.digest === digest);
+    return this.currentState.accepted.some((change) => change.digest === digest);
   }
 
-  /** The newest state; only a leader that a quorum has confirmed after this call can be sure of it. */
+  /** Linearizable read: returns the state once a quorum has confirmed leadership after the start of this call. */
   async readState(): Promise<Result<DirectoryState, ReadError>> {
     if (!this.leading) {
       const leader = this.leaderElsewhere;
       return Err(leader === null ? { kind: 'unavailable' } : { kind: 'elsewhere', leader });
     }
-    if (!(await this.confirmations.confirm(ANSWER_LIMIT_MS))) return Err({ kind: 'unavailable' });
-    return Ok(this.current);
+    if (!(await this.confirmations.confirm(ANSWER_TIMEOUT_MS))) return Err({ kind: 'unavailable' });
+    return Ok(this.currentState);
   }
 
-  /** Adds addresses of replicas, from settings that were read again. */
+  /** Adds replica addresses from reloaded settings. */
   addSeeds(seeds: readonly string[]): void {
     this.membership.addSeeds(seeds);
   }
 
-  /** Stops everything and closes the data folder. */
+  /** Stops the replica and closes its data folder. */
   async stop(): Promise<void> {
     for (const cancel of this.timers) cancel();
     this.listener.close();
@@ -241,31 +241,31 @@
     else await this.replica.stop();
   }
 
-  // ---- the state machine of the log
+  // ---- replicated state machine
 
-  /** Applies one committed entry and publishes what it changed. */
+  /** Applies a committed entry and publishes its changes. */
   apply(entry: LogEntry): void {
     this.appliedIndex = entry.index;
-    if (entry.payload.kind === 'no-op') this.runDutiesSoon();
+    if (entry.payload.kind === 'no-op') this.scheduleLeaderTasks();
     if (entry.payload.kind !== 'command') return;
     const command = entry.payload.command as DirectoryCommand;
-    const { outcome, changes } = applyDirectoryCommand(this.current, command, entry.index);
+    const { outcome, changes } = applyDirectoryCommand(this.currentState, command, entry.index);
     this.feed.publish(entry.index, changes);
-    // Every replica knows; the leader says so.
-    if (this.leading) this.reports.crashRecords(changes);
+    // All replicas apply the change, but only the leader logs it.
+    if (this.leading) this.reporter.crashRecords(changes);
     this.proposals.applied(entry.payload.proposalId, outcome);
   }
 
-  /** The state as plain data, for the snapshot file. */
+  /** Returns the state as plain data for the snapshot file. */
   snapshot(): unknown {
-    return encodeDirectory(this.current);
+    return encodeDirectory(this.currentState);
   }
 
-  /** Takes over a snapshot; null stands for the empty state. */
+  /** Replaces the state by a snapshot; null means the empty state. */
   restore(data: unknown, index: number): void {
-    this.current = data === null ? emptyDirectoryState() : decodeDirectory(data as DirectorySnapshot);
+    this.currentState = data === null ? emptyDirectoryState() : decodeDirectory(data as DirectorySnapshot);
     this.appliedIndex = index;
-    this.feed.reset(this.current, index);
+    this.feed.reset(this.currentState, index);
   }
 
   // ---- starting
@@ -273,9 +273,9 @@
   private makeLeader(): DirectoryLeader {
     const { runtime, settings, log } = this.options;
     const { leaseTermMs } = settings;
-    const leases = new LeaseTable(leaseTermMs * (1 + LEASE_DRIFT_SHARE));
+    const leases = new LeaseTable(leaseTermMs * (1 + LEASE_DRIFT_ALLOWANCE));
     const ports = {
-      state: () => this.current,
+      state: () => this.currentState,
       newestIndex: () => this.feed.newestIndex,
       nowMs: () => runtime.nowMs(),
       steadyMs: () => runtime.steadyMs(),
@@ -284,11 +284,18 @@
         log.event('lease-expired', { sessions });
       },
     };
-    return new DirectoryLeader(leaseTermMs, leases, ports, this.proposals, this.confirmations, this.duties);
+    return new DirectoryLeader(
+      leaseTermMs,
+      leases,
+      ports,
+      this.proposals,
+      this.confirmations,
+      this.rangePlanning,
+    );
   }
 
-  private makeLeaderRequests(): LeaderRequests {
-    return new LeaderRequests({
+  private makeLeaderRequestRelay(): LeaderRequestRelay {
+    return new LeaderRequestRelay({
       name: this.name,
       leading: () => this.leading,
       leaderElsewhere: () => this.leaderElsewhere,
@@ -299,16 +306,16 @@
     });
   }
 
-  private makeMembership(): MembershipKeeper {
+  private makeMembership(): MembershipManager {
     const { runtime, settings, log } = this.options;
-    return new MembershipKeeper({
+    return new MembershipManager({
       id: this.id,
       settings,
       runtime,
       log,
       replica: () => this.replica,
       leading: () => this.leading,
-      hearsLeader: () => this.hearsLeader,
+      hasRecentLeader: () => this.hearsLeader,
       leaderAddress: () => this.leaderAddress,
       sendTo: (address, request) => {
         this.dialer.sendTo(address, request);
@@ -317,7 +324,7 @@
   }
 
   private startFormation(formation: FormationCore): void {
-    const step = (): void => {
+    const queryOrFinish = (): void => {
       if (formation.outcome.kind === 'undecided') {
         for (const seed of this.options.settings.seeds) this.dialer.sendTo(seed, formation.query());
         return;
@@ -325,9 +332,9 @@
       cancel();
       void this.finishFormation(formation);
     };
-    const cancel = this.options.runtime.every(FORMATION_RETRY_MS, step);
+    const cancel = this.options.runtime.every(FORMATION_RETRY_INTERVAL_MS, queryOrFinish);
     this.timers.push(cancel);
-    step();
+    queryOrFinish();
   }
 
   private async finishFormation({ outcome }: FormationCore): Promise<void> {
@@ -343,22 +350,22 @@
       ...DEFAULT_RAFT_OPTIONS,
       heartbeatMs: timing.heartbeatMs,
       electionTimeoutMs: timing.electionTimeoutMs,
-      // Replicas draw different election timeouts; the generator takes a signed number.
+      // A seed per replica gives different election timeouts; the generator takes a signed integer.
       seed: textHash(this.id) | 0,
       snapshotEveryEntries:
         timing.snapshotEveryEntries + spread(this.id, Math.ceil(timing.snapshotEveryEntries / 4)),
     };
     this.replica = new Replica(this.id, runtime, storage, this, this.replicaPorts(), options);
-    this.reports.recovered(this.replica);
+    this.reporter.recovered(this.replica);
     this.timers.push(
-      runtime.every(timing.dutyIntervalMs, () => {
-        this.runDuties();
+      runtime.every(timing.leaderTaskIntervalMs, () => {
+        this.runLeaderTasks();
       }),
-      runtime.every(JOIN_RETRY_MS, () => {
+      runtime.every(JOIN_RETRY_INTERVAL_MS, () => {
         this.membership.requestToJoin();
       }),
-      runtime.every(ALIVE_MS, () => {
-        this.tellWatchers();
+      runtime.every(WATCHER_HEARTBEAT_INTERVAL_MS, () => {
+        this.sendWatcherHeartbeat();
       }),
     );
     this.membership.requestToJoin();
@@ -370,7 +377,7 @@
         this.dialer.send(message);
       },
       onRoleChanged: (role, term, leader) => {
-        this.roleChanged(role, term, leader);
+        this.handleRoleChange(role, term, leader);
       },
       onLeadershipConfirmed: (requestId) => {
         this.confirmations.confirmed(requestId);
@@ -387,30 +394,33 @@
 
   // ---- leading
 
-  private roleChanged(role: RaftRole, term: number, leader: ReplicaId | null): void {
+  private handleRoleChange(role: RaftRole, term: number, leader: ReplicaId | null): void {
     this.options.log.event('role-changed', { role, term, leader });
     if (role === 'leader') return;
     this.proposals.abandonAll();
     this.confirmations.abandonAll();
   }
 
-  /** A term begins with an entry of its own; its leader takes requests from then on, not from its next round on. */
-  private runDutiesSoon(): void {
+  /**
+   * Runs the leader's tasks once the first entry of the term is applied, so that the new leader accepts requests
+   * immediately and not only from the next interval on.
+   */
+  private scheduleLeaderTasks(): void {
     this.options.runtime.after(0, () => {
-      this.runDuties();
+      this.runLeaderTasks();
     });
   }
 
-  private runDuties(): void {
+  private runLeaderTasks(): void {
     const { replica } = this;
     if (replica?.leading !== true) return;
     if (this.leadingTerm !== replica.core.term) this.startLeading(replica.core.term);
     const { electionTimeoutMs } = this.options.settings.timing;
-    // After a suspension nobody seems to have answered for as long; that says nothing of the others.
-    if (!this.clockSkips.lately(electionTimeoutMs)) this.membership.advance(replica);
+    // After this process was suspended, all peers seem to have been silent; that does not mean that they are lost.
+    if (!this.clockSkips.lately(electionTimeoutMs)) this.membership.proposeNextMembership(replica);
     if (!this.durable) return;
-    this.leader.expire();
-    this.duties.run(this.options.runtime.nowMs());
+    this.leader.expireLeases();
+    this.rangePlanning.run(this.options.runtime.nowMs());
     this.crashDuties.run(this.options.runtime.nowMs());
   }
 
@@ -418,15 +428,15 @@
     this.leadingTerm = term;
     this.membership.startLeading();
     this.leader.startLeading();
-    this.duties.startLeading();
+    this.rangePlanning.startLeading();
     this.crashDuties.startLeading();
   }
 
-  private tellWatchers(): void {
+  private sendWatcherHeartbeat(): void {
     const core = this.replica?.core;
     if (core === undefined) return;
     if (!this.isCurrent) {
-      this.feed.dismissAll();
+      this.feed.refuseAllWatchers();
       return;
     }
     const { voters, learners } = core.membership;
@@ -444,7 +454,7 @@
       },
       onClose: () => {
         this.feed.remove(connection);
-        this.leaderRequests.forget(connection);
+        this.leaderRequestRelay.forget(connection);
       },
     };
   }
@@ -452,7 +462,7 @@
   private receiveFromReplica(message: unknown, connection: Connection): void {
     const relayed = readRelayMessage(message);
     if (relayed !== null) {
-      this.leaderRequests.takeRelayed(relayed);
+      this.leaderRequestRelay.handleRelayed(relayed);
       return;
     }
     const checked = readPeerMessage(message);
@@ -466,21 +476,21 @@
   private handlePeerMessage(message: PeerMessage): void {
     switch (message.kind) {
       case 'formation-query':
-        this.answerFormation(message);
+        this.answerFormationQuery(message);
         break;
       case 'formation-answer':
         this.formation?.receive(message);
         break;
       case 'join-request':
-        this.membership.takeRequest(message.id);
+        this.membership.handleJoinRequest(message.id);
         break;
       default:
         this.replica?.submit({ kind: 'message', message });
     }
   }
 
-  /** A replica that was formed in an earlier life answers with its membership, whoever founded it. */
-  private answerFormation(query: Parameters<FormationCore['answer']>[0]): void {
+  /** Answers a formation query. A replica that is already a member answers with its membership, whoever formed it. */
+  private answerFormationQuery(query: Parameters<FormationCore['answer']>[0]): void {
     const membership = this.replica?.core.membership ?? null;
     const formed = membership !== null && membership.voters.length > 0;
     if (formed) {
@@ -488,7 +498,7 @@
       this.dialer.sendTo(query.name, answer);
       return;
     }
-    // A replica whose disk was lost is no member of anything that is being formed.
+    // A replica that lost its disk must not take part in formation, so it does not answer.
     if (this.formation !== null) this.dialer.sendTo(query.name, this.formation.answer(query));
   }
 
@@ -503,18 +513,18 @@
       this.watch(request.fromIndex, connection);
       return;
     }
-    this.leaderRequests.take(request, connection);
+    this.leaderRequestRelay.handle(request, connection);
   }
 
   private watch(fromIndex: number, connection: Connection): void {
-    // What is committed and not yet applied would be missing in the table that a new watcher is given.
+    // Entries that are committed but not yet applied would be missing from the table sent to a new watcher.
     const isApplying = this.appliedIndex < (this.replica?.core.commitIndex ?? 0);
     if (!this.isCurrent || isApplying || fromIndex > this.appliedIndex) {
       const reason = this.hearsLeader ? 'behind' : 'no-leader';
       connection.send({ kind: 'watch-refused', reason });
       return;
     }
-    this.feed.add(connection, fromIndex, this.current, this.appliedIndex);
-    this.tellWatchers();
+    this.feed.add(connection, fromIndex, this.currentState, this.appliedIndex);
+    this.sendWatcherHeartbeat();
   }
 }
--- a/src/directory/directory-reports.ts
+++ b/src/directory/directory-reporter.ts
@@ -1,4 +1,4 @@
-/** What a directory replica tells of itself in its log and its latencies. */
+/** Log events and latency observations of a directory replica. */
 import type { Replica } from '../consensus/replica.js';
 import type { ProposalSteps } from '../control/proposal-times.js';
 import { reportCrashes } from '../quarantine/crash-report.js';
@@ -6,31 +6,31 @@
 import type { Latencies } from '../telemetry/latencies.js';
 import type { DirectoryChange } from './directory-commands.js';
 
-/** Time in ms from which on a change is written to the log with its steps. */
+/** Duration in ms from which a configuration change is logged with its steps. */
 const SLOW_CHANGE_MS = 200;
 
-/** Label of changes of the configuration in the latencies. */
-const CHANGES = 'configuration';
+/** Latency label of configuration changes. */
+const CONFIGURATION_LABEL = 'configuration';
 
-/** Reports of one replica. */
-export class DirectoryReports {
+/** Writes the log events and latency observations of one replica. */
+export class DirectoryReporter {
   constructor(
     private readonly log: EventLog,
     private readonly latencies: Latencies,
   ) {}
 
-  /** What a replica held when its process began: one that came back with less than it had shows it here. */
+  /** Logs what a replica recovered at process start, so that a replica that lost entries can be recognized. */
   recovered({ core }: Replica): void {
     const { lastIndex, term, commitIndex: snapshotIndex, membership } = core;
     const voters = membership.voters.length;
     this.log.event('replica-recovered', { lastIndex, term, snapshotIndex, voters });
   }
 
-  /** Where the time of an operator's change of so many items went, so that a slow one can be explained. */
+  /** Records how long each step of an operator's change of `items` items took, and logs slow changes. */
   changed(items: number, { queueMs, syncMs, quorumMs }: ProposalSteps): void {
-    this.latencies.observe('change-queue', CHANGES, queueMs);
-    this.latencies.observe('change-sync', CHANGES, syncMs);
-    this.latencies.observe('change-quorum', CHANGES, quorumMs);
+    this.latencies.observe('change-queue', CONFIGURATION_LABEL, queueMs);
+    this.latencies.observe('change-sync', CONFIGURATION_LABEL, syncMs);
+    this.latencies.observe('change-quorum', CONFIGURATION_LABEL, quorumMs);
     const total = Math.round(queueMs + syncMs + quorumMs);
     if (total < SLOW_CHANGE_MS) return;
     this.log.event('change-slow', {
@@ -42,7 +42,7 @@
     });
   }
 
-  /** Requests under which back ends end, as changes hold them or let them go. */
+  /** Logs requests that are held or cleared because back ends ended while running them. */
   crashRecords(changes: readonly DirectoryChange[]): void {
     for (const change of changes) {
       if (change.kind !== 'crash-records') continue;
--- a/src/directory/directory-settings.ts
+++ b/src/directory/directory-settings.ts
@@ -1,21 +1,21 @@
 /** Settings of a directory replica. */
 import type { SocketAddress } from '../model/socket-address.js';
 
-/** What a directory replica is told when it starts. Times are in ms. */
+/** Settings of a directory replica. Times are in ms. */
 export interface DirectorySettings {
   readonly listen: SocketAddress;
-  /** Where replicas and daemons reach `listen`; as `host:port` it is the name of this replica. */
+  /** Address at which replicas and daemons reach `listen`; as `host:port` it is the name of this replica. */
   readonly advertised: SocketAddress;
   readonly zone: string;
-  /** The only folder that is written to. */
+  /** Data folder; the replica writes nowhere else. */
   readonly dataFolder: string;
-  /** Addresses of replicas to begin with; they may be stale. */
+  /** Initial addresses of replicas; they may be stale. */
   readonly seeds: readonly string[];
-  /** Whether this is the very first start of the whole deployment. */
+  /** Whether this is the first start of the whole deployment. */
   readonly firstStart: boolean;
-  /** Replicas whose disks may be lost at once. */
+  /** Number of replicas whose disks may be lost at the same time. */
   readonly toleratedLosses: number;
-  /** Time for which a renewed lease of a back end is good. */
+  /** Term of a back end's lease. */
   readonly leaseTermMs: number;
   readonly timing: DirectoryTiming;
 }
@@ -23,21 +23,24 @@
 /** Timing of a directory replica, in ms. */
 export interface DirectoryTiming {
   readonly heartbeatMs: number;
-  /** Time without a leader before an election; at least three heartbeats. */
+  /** Time without contact to a leader before an election; at least three heartbeats. */
   readonly electionTimeoutMs: number;
-  /** Pause between runs of the leader's duties. */
-  readonly dutyIntervalMs: number;
-  /** Applied entries after which a snapshot replaces the log. */
+  /** Interval between runs of the leader's periodic tasks. */
+  readonly leaderTaskIntervalMs: number;
+  /** Number of applied entries after which a snapshot replaces the log. */
   readonly snapshotEveryEntries: number;
 }
 
-/** Timing that suits machines within a few ms of each other. */
+/** Default timing, for machines with a network latency of a few ms between them. */
 export const DEFAULT_DIRECTORY_TIMING: DirectoryTiming = {
   heartbeatMs: 100,
   electionTimeoutMs: 600,
-  dutyIntervalMs: 100,
+  leaderTaskIntervalMs: 100,
   snapshotEveryEntries: 2_048,
 };
 
-/** Part of a lease by which two clocks may differ over its length, with room for a slow turn of the holder. */
-export const LEASE_DRIFT_SHARE = 0.03;
+/**
+ * Fraction by which the leader counts a lease longer than its holder does: allows for clock drift over the term and a
+ * slow event loop turn at the holder.
+ */
+export const LEASE_DRIFT_ALLOWANCE = 0.03;
--- a/src/directory/directory-state.ts
+++ b/src/directory/directory-state.ts
@@ -1,63 +1,63 @@
 /**
- * The replicated state of a directory: configuration items, back ends that registered themselves, and the ranges
- * of keys that they own. Changed only by committed commands (`directory-commands.ts`).
+ * The replicated state of a directory: configuration items, registered back ends, and the key ranges that they own.
+ * Changed only by committed commands (`directory-commands.ts`).
  */
 
 import { isWatched, type CrashRecord, type CrashRecords } from '../quarantine/crash-records.js';
 
-/** What may be done with a request: a safe one may run more than once, another at most once. */
+/** Kind of a route's requests: safe requests may run more than once, all others at most once. */
 export type RequestKind = 'safe' | 'non-idempotent' | 'download';
 
-/** A service that takes part of a route's requests. */
+/** A service that receives a share of a route's requests. */
 export interface WeightedService {
   readonly service: string;
   /** Share of the requests, relative to the sum of the route's weights. */
   readonly weight: number;
 }
 
-/** Which requests go where. */
+/** Matches requests and defines their destinations and limits. */
 export interface RouteDefinition {
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RequestKind;
-  /** Longest time that a request is held, in ms. */
+  /** Maximum time in ms for which a request is held. */
   readonly timeoutMs: number;
-  /** Time within which an answer has its full value, in ms. */
+  /** Target latency in ms; answers within it have full value. */
   readonly targetLatencyMs: number;
-  /** Rank; 0 is the most urgent. */
+  /** Priority; 0 is the most urgent. */
   readonly priority: number;
-  /** Most back ends that one request may go to. */
+  /** Maximum number of back ends to which one request may be sent. */
   readonly maxAttempts: number;
   readonly destinations: readonly WeightedService[];
 }
 
-/** How keys of a service are granted to a back end: in the answers to its heartbeats, or by calls to it. */
+/** How keys are granted to a back end: in the answers to its heartbeats, or by calls to it. */
 export type GrantMode = 'heartbeat' | 'invoke';
 
-/** What a service says of the starts of its back ends. */
+/** Reduced capacity of a service's back ends after a start. */
 export interface ColdStart {
-  /** Time in ms for which a back end is cold after it was started. */
+  /** Time in ms after its start for which a back end is cold. */
   readonly durationMs: number;
-  /** Requests a second that a cold back end bears. */
+  /** Requests per second that a cold back end sustains. */
   readonly requestsPerSecond: number;
 }
 
 /** A service whose back ends register themselves. */
 export interface ServiceDefinition {
-  /** Connections that one back end accepts. */
+  /** Maximum number of connections that one back end accepts. */
   readonly maxConnections: number;
-  /** Whether the service is divided by key. */
+  /** Whether the service's state is partitioned by key. */
   readonly keyed: boolean;
-  /** How keys are granted; null where the daemon's settings decide. */
+  /** How keys are granted; null when the daemon's settings decide. */
   readonly grantMode: GrantMode | null;
-  /** Null where cold back ends bear as much as others, or it is not said. */
+  /** Null when cold back ends sustain the full load, or when not configured. */
   readonly coldStart: ColdStart | null;
-  /** Path at which a back end tells who it is; null where it does not. */
+  /** Path at which a back end reports its identity; null when it has none. */
   readonly healthPath: string | null;
 }
 
-/** What clients may send. */
+/** Limits on client requests and connections. */
 export interface LimitsDefinition {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -71,85 +71,85 @@
 interface ItemBase {
   readonly name: string;
   readonly version: number;
-  /** The item as the operator wrote it, for reading it back; null when it was dropped. */
+  /** The item as written by the operator, to be read back; null when the item was dropped. */
   readonly source: string | null;
 }
 
-/** One item of the configuration; a dropped one keeps its version, so that an older one cannot return. */
+/** A configuration item. A dropped item keeps its version, so that an older version cannot restore it. */
 export type ConfigurationItem =
   | (ItemBase & { readonly kind: 'route'; readonly definition: RouteDefinition | null })
   | (ItemBase & { readonly kind: 'service'; readonly definition: ServiceDefinition | null })
   | (ItemBase & { readonly kind: 'limits'; readonly definition: LimitsDefinition | null });
 
-/** Whether a back end takes new requests. */
+/** Whether a back end accepts new requests. */
 export type BackendCondition = 'ready' | 'draining';
 
-/** One life of a back end, as its daemon registered it. */
+/** One incarnation of a back end, as registered by its daemon. */
 export interface BackendInstance {
   readonly id: string;
   readonly service: string;
   readonly zone: string;
-  /** Address of the daemon beside it, for requests, as `host:port`. */
+  /** Address of its sidecar for requests, as `host:port`. */
   readonly daemonAddress: string;
-  /** Requests that it runs at once. */
+  /** Number of requests that it runs concurrently. */
   readonly slots: number;
   readonly condition: BackendCondition;
-  /** Version of its software, as it tells; empty where it does not. */
+  /** Software version that it reports; empty when it reports none. */
   readonly version: string;
-  /** Index of the log entry that registered it; ranges that it owns carry the same number. */
+  /** Index of the log entry that registered it; the ranges that it owns carry the same number. */
   readonly session: number;
 }
 
-/** Smallest and largest key. */
+/** The smallest key. */
 export const FIRST_KEY = 0;
 /** The largest key. */
 export const LAST_KEY = 65_535;
 
-/** A range of keys, both ends included, and who owns it. */
+/** A range of keys, both ends inclusive, and its ownership. */
 export interface KeyRange {
   readonly from: number;
   readonly to: number;
-  /** Id of the owning back end; null while nobody owns the range. */
+  /** Id of the owning back end; null while the range is unowned. */
   readonly owner: string | null;
-  /** Session under which the owner got it. */
+  /** Session of the owner at the time of the assignment. */
   readonly session: number;
-  /** Rises with every change of owner. */
+  /** Fencing token; rises with every change of owner. */
   readonly fence: number;
-  /** Id of the back end that it is to move to; null when no move is under way. */
+  /** Id of the back end to which the range is moving; null when no move is in progress. */
   readonly movingTo: string | null;
-  /** What the last owner left for the next one; empty when there is nothing. */
+  /** Handover data of the last owner for the next one; empty when there is none. */
   readonly handover: string;
 }
 
-/** An accepted change of the configuration, kept so that a resend gets the same answer. */
+/** An accepted configuration change, retained so that a resend gets the same answer. */
 export interface AcceptedRevision {
-  /** Version of the whole, or the newest of the change's items. */
+  /** Version of the whole configuration, or the newest version among the change's items. */
   readonly version: number;
   /** Digest of the call's content. */
   readonly digest: string;
 }
 
-/** Everything that is replicated. */
+/** The complete replicated state. */
 export interface DirectoryState {
-  /** By `itemKey`. */
+  /** Configuration items by `itemKey`. */
   readonly items: Map<string, ConfigurationItem>;
-  /** Version of the configuration as a whole; stays 0 where items have versions of their own. */
+  /** Version of the configuration as a whole; stays 0 when items are versioned individually. */
   revision: number;
-  /** Whether any configuration was accepted. */
+  /** Whether any configuration has been accepted. */
   configured: boolean;
-  /** Newest last. */
+  /** Recently accepted changes, oldest first. */
   accepted: AcceptedRevision[];
-  /** By id. */
+  /** Registered back ends by id. */
   readonly instances: Map<string, BackendInstance>;
-  /** Ranges by service, in the order of keys, without gaps. */
+  /** Key ranges by service, in key order and without gaps. */
   readonly ranges: Map<string, readonly KeyRange[]>;
-  /** Zones whose back ends are to be sent nothing. */
+  /** Zones whose back ends receive no requests. */
   readonly evacuatedZones: Set<string>;
-  /** Requests under which back ends have ended, by fingerprint. */
+  /** Requests during which back ends have ended, by fingerprint. */
   readonly crashRecords: CrashRecords;
 }
 
-/** The state before the first command. */
+/** Returns the state before the first command. */
 export function emptyDirectoryState(): DirectoryState {
   return {
     items: new Map(),
@@ -163,12 +163,12 @@
   };
 }
 
-/** Key of an item in the state. */
+/** Returns the key of an item in `DirectoryState.items`. */
 export function itemKey(kind: ItemKind, name: string): string {
   return `${kind}/${name}`;
 }
 
-/** Definition of a service that stands, or null. */
+/** Returns the definition of a service; null when it is unknown or was dropped. */
 export function serviceDefinition(
   items: ReadonlyMap<string, ConfigurationItem>,
   name: string,
@@ -177,7 +177,7 @@
   return item?.kind === 'service' ? item.definition : null;
 }
 
-/** The state as plain data, for snapshots and for daemons that watch. */
+/** The state as plain data, for snapshots and for watching daemons. */
 export interface DirectorySnapshot {
   readonly items: readonly ConfigurationItem[];
   readonly revision: number;
@@ -185,19 +185,19 @@
   readonly accepted: readonly AcceptedRevision[];
   readonly instances: readonly BackendInstance[];
   readonly ranges: readonly ServiceRanges[];
-  /** Missing in snapshots of versions that knew no evacuations. */
+  /** Missing in snapshots written by versions without evacuations. */
   readonly evacuatedZones?: readonly string[];
-  /** Missing in snapshots of versions that knew none. */
+  /** Missing in snapshots written by versions without crash records. */
   readonly crashRecords?: readonly CrashRecord[];
 }
 
-/** The ranges of one service. */
+/** The key ranges of one service. */
 export interface ServiceRanges {
   readonly service: string;
   readonly ranges: readonly KeyRange[];
 }
 
-/** Writes the state as plain data. */
+/** Converts the state to plain data. */
 export function encodeDirectory(state: DirectoryState): DirectorySnapshot {
   return {
     items: [...state.items.values()],
@@ -211,27 +211,27 @@
   };
 }
 
-/** Reads what `encodeDirectory` wrote. */
+/** Restores the state from the output of `encodeDirectory`. */
 export function decodeDirectory(snapshot: DirectorySnapshot): DirectoryState {
   return {
     items: new Map(snapshot.items.map((item) => [itemKey(item.kind, item.name), item])),
     revision: snapshot.revision,
     configured: snapshot.configured,
     accepted: [...snapshot.accepted],
-    instances: new Map(snapshot.instances.map((instance) => [instance.id, withVersion(instance)])),
+    instances: new Map(snapshot.instances.map((instance) => [instance.id, withDefaultVersion(instance)])),
     ranges: new Map(snapshot.ranges.map(({ service, ranges }) => [service, ranges])),
     evacuatedZones: new Set(snapshot.evacuatedZones ?? []),
     crashRecords: new Map((snapshot.crashRecords ?? []).map((record) => [record.fingerprint, record])),
   };
 }
 
-/** The part of a snapshot that daemons which watch need. */
+/** Returns the part of a snapshot that watching daemons need. */
 export function forWatchers(snapshot: DirectorySnapshot): DirectorySnapshot {
   const crashRecords = (snapshot.crashRecords ?? []).filter(isWatched);
   return { ...snapshot, accepted: [], crashRecords };
 }
 
-/** Registrations of earlier versions of this program told no version. */
-function withVersion(instance: BackendInstance & { readonly version?: string }): BackendInstance {
+/** Adds the empty version to registrations made by program versions that did not record one. */
+function withDefaultVersion(instance: BackendInstance & { readonly version?: string }): BackendInstance {
   return { ...instance, version: instance.version ?? '' };
 }
--- a/src/directory/key-load.ts
+++ b/src/directory/key-load.ts
@@ -1,71 +1,71 @@
-/** Load by bucket of keys, as the leader was told by the daemons beside the back ends. */
+/** Load by key bucket, as reported to the leader by the sidecars. */
 import { FIRST_KEY, LAST_KEY } from './directory-state.js';
 
-/** Keys that are counted together. */
+/** Number of keys whose load is counted together. */
 export const KEYS_PER_BUCKET = 16;
 
-const BUCKETS = (LAST_KEY - FIRST_KEY + 1) / KEYS_PER_BUCKET;
+const BUCKET_COUNT = (LAST_KEY - FIRST_KEY + 1) / KEYS_PER_BUCKET;
 
-/** Share of the older value that stays after a second. */
-const KEPT_SHARE = 0.45;
+/** Weight that the previous average retains after one second of an exponentially weighted moving average. */
+const EWMA_RETAINED_WEIGHT_PER_SECOND = 0.45;
 
 const MS_PER_SECOND = 1_000;
 
-/** Time for which keys that were moved for balance stay where they are, in ms. */
-const REST_MS = 8_000;
+/** Time in ms for which keys are not moved for balance again after such a move. */
+const MOVE_COOLDOWN_MS = 8_000;
 
-/** Bucket of a key. */
+/** Returns the bucket of a key. */
 export function bucketOf(key: number): number {
   return Math.floor(key / KEYS_PER_BUCKET);
 }
 
-/** Load of one service: slots in use on average, by bucket. */
+/** Load of one service by key bucket, as an average number of used slots. */
 export class KeyLoad {
-  /** Slots in use on average. */
-  readonly slots = new Float64Array(BUCKETS);
-  private readonly window = new Float64Array(BUCKETS);
-  private assumedPerKey = 0;
-  /** When each bucket was last moved for balance, in ms. */
-  private readonly movedMs = new Float64Array(BUCKETS).fill(-Infinity);
+  /** Average number of used slots by bucket. */
+  readonly slots = new Float64Array(BUCKET_COUNT);
+  private readonly window = new Float64Array(BUCKET_COUNT);
+  private assumedLoadPerKey = 0;
+  /** Time in ms at which each bucket was last moved for balance. */
+  private readonly lastMovedMs = new Float64Array(BUCKET_COUNT).fill(-Infinity);
 
-  /** Every key counts for at least this, in slots, so that keys whose load is unknown are spread as well. */
-  assume(slotsPerKey: number): void {
-    this.assumedPerKey = slotsPerKey;
+  /** Sets a base load in slots that is added to every key, so that keys with unknown load are spread as well. */
+  setAssumedLoad(slotsPerKey: number): void {
+    this.assumedLoadPerKey = slotsPerKey;
   }
 
-  /** Keys were moved for balance. */
-  noteMoved(from: number, to: number, nowMs: number): void {
-    for (let bucket = bucketOf(from); bucket <= bucketOf(to); bucket += 1) this.movedMs[bucket] = nowMs;
+  /** Records that keys were moved for balance. */
+  recordMove(from: number, to: number, nowMs: number): void {
+    for (let bucket = bucketOf(from); bucket <= bucketOf(to); bucket += 1) this.lastMovedMs[bucket] = nowMs;
   }
 
-  /** Whether a bucket was moved for balance a moment ago, and must show its load where it is before it moves again. */
-  rests(bucket: number, nowMs: number): boolean {
-    return nowMs - (this.movedMs[bucket] ?? -Infinity) < REST_MS;
+  /** Whether a bucket was moved for balance recently; its load at the new owner must be measured before it moves again. */
+  isCoolingDown(bucket: number, nowMs: number): boolean {
+    return nowMs - (this.lastMovedMs[bucket] ?? -Infinity) < MOVE_COOLDOWN_MS;
   }
 
-  /** Load of one bucket. */
+  /** Returns the load of one bucket in slots, including the assumed load. */
   ofBucket(bucket: number): number {
-    return (this.slots[bucket] ?? 0) + this.assumedPerKey * KEYS_PER_BUCKET;
+    return (this.slots[bucket] ?? 0) + this.assumedLoadPerKey * KEYS_PER_BUCKET;
   }
 
-  /** Adds slot time that was asked for, in ms, by bucket. */
+  /** Adds demanded slot time to the current window, as pairs of bucket and ms. */
   add(load: readonly (readonly [number, number])[]): void {
     for (const [bucket, busyMs] of load) {
-      if (bucket >= 0 && bucket < BUCKETS) this.window[bucket] = (this.window[bucket] ?? 0) + busyMs;
+      if (bucket >= 0 && bucket < BUCKET_COUNT) this.window[bucket] = (this.window[bucket] ?? 0) + busyMs;
     }
   }
 
-  /** Closes a window of `ms`. */
-  closeWindow(ms: number): void {
-    const keptShare = KEPT_SHARE ** (ms / MS_PER_SECOND);
-    for (let bucket = 0; bucket < BUCKETS; bucket += 1) {
-      const fresh = (this.window[bucket] ?? 0) / ms;
-      this.slots[bucket] = (this.slots[bucket] ?? 0) * keptShare + fresh * (1 - keptShare);
+  /** Ends a measurement window of `durationMs` and folds it into the averages. */
+  closeWindow(durationMs: number): void {
+    const previousWeight = EWMA_RETAINED_WEIGHT_PER_SECOND ** (durationMs / MS_PER_SECOND);
+    for (let bucket = 0; bucket < BUCKET_COUNT; bucket += 1) {
+      const sample = (this.window[bucket] ?? 0) / durationMs;
+      this.slots[bucket] = (this.slots[bucket] ?? 0) * previousWeight + sample * (1 - previousWeight);
       this.window[bucket] = 0;
     }
   }
 
-  /** Load of the keys from `from` to `to`; buckets at the ends count by the part that lies inside. */
+  /** Returns the load of the keys from `from` to `to`; buckets at the ends count in proportion to their keys inside. */
   ofSpan(from: number, to: number): number {
     let sum = 0;
     for (let bucket = bucketOf(from); bucket <= bucketOf(to); bucket += 1) {
--- a/src/directory/key-ranges.ts
+++ b/src/directory/key-ranges.ts
@@ -1,13 +1,13 @@
-/** Pure operations on the ranges of one service: they stay in the order of keys, without gaps or overlaps. */
+/** Pure operations on the ranges of one service. Ranges stay in key order, without gaps or overlaps. */
 import type { KeySpan } from './directory-commands.js';
 import { FIRST_KEY, LAST_KEY, type KeyRange } from './directory-state.js';
 
-/** All keys, owned by nobody. */
+/** Returns a single unowned range of all keys. */
 export function unownedRanges(): readonly KeyRange[] {
   return [{ from: FIRST_KEY, to: LAST_KEY, owner: null, session: 0, fence: 0, movingTo: null, handover: '' }];
 }
 
-/** Replaces what lies inside `span`, range by range; ranges that cross its ends are cut. */
+/** Applies `change` to each range within `span`; ranges that cross an end of the span are split there. */
 export function changeSpan(
   ranges: readonly KeyRange[],
   span: KeySpan,
@@ -28,8 +28,8 @@
   return result;
 }
 
-/** Joins neighbours that differ in nothing but their keys. */
-export function joinNeighbours(ranges: readonly KeyRange[]): readonly KeyRange[] {
+/** Merges adjacent ranges that differ only in their keys. */
+export function mergeAdjacentRanges(ranges: readonly KeyRange[]): readonly KeyRange[] {
   const result: KeyRange[] = [];
   for (const range of ranges) {
     const last = result.at(-1);
@@ -42,25 +42,25 @@
   return result;
 }
 
-/** The ranges of `after` that do not stand in `before` as they are. */
+/** Returns the ranges of `after` that are not in `before` unchanged. */
 export function changedRanges(before: readonly KeyRange[], after: readonly KeyRange[]): readonly KeyRange[] {
-  const known = new Map(before.map((range) => [range.from, range]));
+  const previous = new Map(before.map((range) => [range.from, range]));
   return after.filter((range) => {
-    const same = known.get(range.from);
+    const same = previous.get(range.from);
     return same?.to !== range.to || !isSameOwnership(same, range);
   });
 }
 
-/** Puts ranges in the place of those that they overlap; the opposite of `changedRanges`. */
+/** Replaces the ranges that `changed` overlaps; the inverse of `changedRanges`. */
 export function overlayRanges(
   ranges: readonly KeyRange[],
   changed: readonly KeyRange[],
 ): readonly KeyRange[] {
-  const kept = ranges.filter((range) => !changed.some((other) => overlaps(range, other)));
-  return [...kept, ...changed].sort((left, right) => left.from - right.from);
+  const unaffected = ranges.filter((range) => !changed.some((other) => overlaps(range, other)));
+  return [...unaffected, ...changed].sort((left, right) => left.from - right.from);
 }
 
-/** The range that holds `key`; ranges are found by halving. */
+/** Finds the range that contains `key` by binary search; null when there is none. */
 export function rangeOf(ranges: readonly KeyRange[], key: number): KeyRange | null {
   let low = 0;
   let high = ranges.length - 1;
@@ -75,7 +75,7 @@
   return null;
 }
 
-/** What is left of something that covers keys when a span is taken out of it: nothing, or up to two parts. */
+/** Subtracts a span from an object that covers keys; returns the zero, one or two remaining parts. */
 export function withoutSpan<T extends KeySpan>(whole: T, span: KeySpan): T[] {
   if (!overlaps(whole, span)) return [whole];
   const parts = [
@@ -93,6 +93,6 @@
 function isSameOwnership(left: KeyRange, right: KeyRange): boolean {
   const sameOwner = left.owner === right.owner && left.session === right.session;
   const sameMove = left.movingTo === right.movingTo && left.fence === right.fence;
-  // Without an owner nothing was granted under the fence, so ranges may be joined as long as no handover is lost.
+  // The fence of an unowned range covers no grants, so such ranges may be merged as long as no handover data is lost.
   return sameOwner && sameMove && left.handover === right.handover;
 }
--- a/src/directory/leader-requests.ts
+++ b/src/directory/leader-request-relay.ts
@@ -1,28 +1,28 @@
-/** Daemons' requests that only the leader can answer: taken here where this replica leads, and passed on where it does not. */
+/** Handles daemons' requests that only the leader can answer: locally on the leader, by relaying on other replicas. */
 import type { Connection } from '../runtime/runtime.js';
 import type { DirectoryLeader } from './directory-leader.js';
 import type { LeaderRequest, RelayedNotice, RelayedRequest } from './directory-messages.js';
 import { RelayTable } from './relay-table.js';
 
-/** What is needed of the replica. */
-export interface LeaderRequestsPorts {
-  /** This replica's address. */
+/** Functions of the replica that the relay depends on. */
+export interface LeaderRequestRelayPorts {
+  /** Address of this replica. */
   readonly name: string;
   readonly leading: () => boolean;
-  /** Address of another replica that leads and was heard lately; null where none is known. */
+  /** Address of the leader if it is another replica and was recently in contact; null otherwise. */
   readonly leaderElsewhere: () => string | null;
   readonly leader: DirectoryLeader;
   readonly sendTo: (address: string, message: RelayedRequest | RelayedNotice) => void;
 }
 
-/** The requests of one replica's daemons. */
-export class LeaderRequests {
+/** Routes the requests of the daemons that are connected to one replica. */
+export class LeaderRequestRelay {
   private readonly relays = new RelayTable();
 
-  constructor(private readonly ports: LeaderRequestsPorts) {}
+  constructor(private readonly ports: LeaderRequestRelayPorts) {}
 
-  /** Takes a request of a daemon; dropped where nobody is known to lead, since daemons ask again. */
-  take(request: LeaderRequest, connection: Connection): void {
+  /** Handles or relays a daemon's request. It is dropped when no leader is known, since daemons send it again. */
+  handle(request: LeaderRequest, connection: Connection): void {
     if (this.ports.leading()) {
       void this.ports.leader.receive(request, (notice) => {
         connection.send(notice);
@@ -35,13 +35,13 @@
     this.ports.sendTo(leader, { kind: 'relayed-request', origin: this.ports.name, token, request });
   }
 
-  /** Takes what another replica passed on, or the answer to what was passed on from here. */
-  takeRelayed(message: RelayedRequest | RelayedNotice): void {
-    if (message.kind === 'relayed-notice') this.relays.take(message.token)?.send(message.notice);
+  /** Handles a request relayed by another replica, or the answer to a request relayed by this one. */
+  handleRelayed(message: RelayedRequest | RelayedNotice): void {
+    if (message.kind === 'relayed-notice') this.relays.takeConnection(message.token)?.send(message.notice);
     else if (this.ports.leading()) this.answerRelayed(message);
   }
 
-  /** A daemon's connection has closed. */
+  /** Discards the pending requests of a closed connection. */
   forget(connection: Connection): void {
     this.relays.forget(connection);
   }
--- a/src/directory/leadership-confirmations.ts
+++ b/src/directory/leadership-confirmations.ts
@@ -1,23 +1,23 @@
 /**
- * Asks the replicated log whether this replica still leads (read-index, Raft 6.4). Every caller asks a question of
- * its own: the heartbeat round of an earlier question may have begun before the caller came.
+ * Confirms with a quorum that this replica is still the leader (read index, section 6.4 of the Raft dissertation). Each
+ * call makes its own request, because the heartbeat round of an earlier request may have begun before the call.
  */
 
 import type { Runtime } from '../runtime/runtime.js';
 
-/** Callers that wait for leadership to be confirmed. */
+/** Pending confirmations of leadership. */
 export class LeadershipConfirmations {
   private readonly waiting = new Map<number, (confirmed: boolean) => void>();
   private nextRequestId = 1;
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly ask: (requestId: number) => void,
+    private readonly requestConfirmation: (requestId: number) => void,
   ) {}
 
   /**
-   * Resolves with true once a quorum has confirmed leadership after this call; false when it was lost, or not confirmed
-   * within so many ms.
+   * Resolves with true once a quorum has confirmed leadership after this call; with false when leadership was lost or
+   * not confirmed within `timeoutMs`.
    */
   async confirm(timeoutMs: number): Promise<boolean> {
     const requestId = this.nextRequestId;
@@ -30,16 +30,16 @@
         cancel();
         resolve(confirmed);
       });
-      this.ask(requestId);
+      this.requestConfirmation(requestId);
     });
   }
 
-  /** A quorum has confirmed one question. */
+  /** Resolves a request that a quorum has confirmed. */
   confirmed(requestId: number): void {
     this.settle(requestId, true);
   }
 
-  /** Leadership was lost: nothing that waits can be confirmed any more. */
+  /** Resolves all pending requests with false after leadership was lost. */
   abandonAll(): void {
     for (const requestId of [...this.waiting.keys()]) this.settle(requestId, false);
   }
--- a/src/directory/range-planner.ts
+++ b/src/directory/range-planner.ts
@@ -1,6 +1,6 @@
 /**
- * Decides which back end gets which keys: first assignment, repair after a loss, emptying of leaving back ends, and
- * balance by load. Pure: the same view gives the same plan.
+ * Plans which back end owns which keys: first assignment, reassignment after a loss, draining of leaving back ends, and
+ * balancing by load. Pure: the same view gives the same plan.
  */
 import type { KeySpan } from './directory-commands.js';
 import { FIRST_KEY, LAST_KEY, type BackendInstance, type KeyRange } from './directory-state.js';
@@ -8,69 +8,69 @@
 import { changeSpan } from './key-ranges.js';
 import { KEYS_PER_BUCKET, bucketOf, type KeyLoad } from './key-load.js';
 
-/** Pieces that one lost or leaving range is cut into at most. */
-const MAX_PIECES = 4;
+/** Maximum number of pieces into which one lost or drained range is split. */
+const MAX_PIECES_PER_RANGE = 4;
 
-/** Difference in shares of slots that a taker of lost keys may be above the next one. */
-const PLACING_DIFFERENCE = 0.1;
+/** Allowed utilization difference between a receiving back end and the next least utilized one; half of it is used. */
+const ALLOWED_UTILIZATION_DIFFERENCE = 0.1;
 
-/** Moves for balance in one plan: so many at least, and more where there are many back ends. */
-const LEAST_BALANCE_MOVES = 6;
+/** Limit of balance moves in one plan: this many, or one per `BACK_ENDS_PER_BALANCE_MOVE` back ends if that is more. */
+const MIN_BALANCE_MOVE_LIMIT = 6;
 const BACK_ENDS_PER_BALANCE_MOVE = 2;
 
-/** Least load that is worth a move for balance, in slots. */
-const LEAST_MOVED_LOAD = 0.2;
+/** Minimum load in slots that justifies a balance move. */
+const MIN_MOVED_LOAD = 0.2;
 
-/** When keys are moved for balance. */
-interface BalanceLimits {
-  /** Share of its slots that must be in use at a back end before keys leave it. */
-  readonly utilization: number;
-  /** Least difference between the busiest and the idlest back end, in shares of slots. */
-  readonly difference: number;
+/** Thresholds for moving keys for balance. */
+interface BalanceThresholds {
+  /** Minimum share of used slots at a back end before keys are moved away from it. */
+  readonly minUtilization: number;
+  /** Minimum utilization difference between the source and the least utilized back end. */
+  readonly minDifference: number;
 }
 
-/** Where a move takes as long as what runs on its keys. */
-const CHEAP_MOVE_LIMITS: BalanceLimits = { utilization: 0.4, difference: 0.15 };
+/** Thresholds when a move takes only as long as the requests running on its keys. */
+const CHEAP_MOVE_THRESHOLDS: BalanceThresholds = { minUtilization: 0.4, minDifference: 0.15 };
 
-/** Where a move takes about a heartbeat, in which nobody serves its keys. */
-const COSTLY_MOVE_LIMITS: BalanceLimits = policyIsOn('move-rest')
-  ? { utilization: 0.65, difference: 0.25 }
-  : { utilization: 0.5, difference: 0.25 };
+/** Thresholds when a move takes about a heartbeat, during which its keys are not served. */
+const COSTLY_MOVE_THRESHOLDS: BalanceThresholds = policyIsOn('move-rest')
+  ? { minUtilization: 0.65, minDifference: 0.25 }
+  : { minUtilization: 0.5, minDifference: 0.25 };
 
-/** Part of all slots that unknown load is taken to need, spread evenly over the keys. */
-const ASSUMED_SHARE_OF_SLOTS = 0.1;
+/** Share of all slots that unknown load is assumed to need, spread evenly over the keys. */
+const ASSUMED_UTILIZATION = 0.1;
 
-/** A span that is to go to a back end. */
+/** A span of keys and the back end that receives it. */
 export interface SpanTarget extends KeySpan {
   readonly backend: string;
 }
 
-/** What is known of one service. */
+/** The input of a plan for one service. */
 export interface RangeView {
   readonly ranges: readonly KeyRange[];
   readonly instances: readonly BackendInstance[];
   readonly load: KeyLoad;
   /** Whether keys may be moved for balance now. */
   readonly mayBalance: boolean;
-  /** Whether nobody serves keys for long while they move. */
+  /** Whether keys are unavailable for a relevant time while they move. */
   readonly movesAreCostly: boolean;
-  /** Zones whose back ends must hold no keys. */
+  /** Zones whose back ends must not own keys. */
   readonly evacuatedZones: ReadonlySet<string>;
-  /** Whether a bucket of keys must stay where it is, unless its owner leaves. */
-  readonly rests: (bucket: number) => boolean;
+  /** Whether a bucket of keys must not be moved for balance yet. */
+  readonly isCoolingDown: (bucket: number) => boolean;
 }
 
-/** What is to be done. */
+/** Planned changes of ownership for one service. */
 export interface RangePlan {
-  /** Keys without owner. */
+  /** Assignments of unowned keys. */
   readonly assignments: readonly SpanTarget[];
-  /** Keys that change their owner. */
+  /** Moves of keys between owners. */
   readonly moves: readonly SpanTarget[];
-  /** Whether the moves are for balance, and not because an owner leaves. */
+  /** Whether the moves are for balance and not because an owner leaves. */
   readonly forBalance: boolean;
 }
 
-/** A back end that can take keys, and how busy it will be. */
+/** A back end that may receive keys, with its planned load in slots and its planned number of keys. */
 interface Candidate {
   readonly id: string;
   readonly slots: number;
@@ -78,10 +78,10 @@
   keys: number;
 }
 
-/** Plans one service. */
+/** Plans the ranges of one service. */
 export function planRanges(view: RangeView): RangePlan {
   const slots = view.instances.reduce((sum, instance) => sum + instance.slots, 0);
-  view.load.assume((slots * ASSUMED_SHARE_OF_SLOTS) / (LAST_KEY - FIRST_KEY + 1));
+  view.load.setAssumedLoad((slots * ASSUMED_UTILIZATION) / (LAST_KEY - FIRST_KEY + 1));
   const candidates = makeCandidates(view);
   if (candidates.length === 0) return { assignments: [], moves: [], forBalance: false };
   if (view.ranges.every(({ owner, fence }) => owner === null && fence === 0)) {
@@ -89,36 +89,38 @@
   }
   const unowned = view.ranges.filter(({ owner }) => owner === null);
   const assignments = unowned.flatMap((range) => placeRange(range, candidates, view.load));
-  const leaving = new Set(view.instances.filter((instance) => !mayHold(instance, view)).map(({ id }) => id));
-  const toEmpty = view.ranges.filter(({ owner, movingTo }) => {
+  const leaving = new Set(
+    view.instances.filter((instance) => !mayOwnKeys(instance, view)).map(({ id }) => id),
+  );
+  const rangesToDrain = view.ranges.filter(({ owner, movingTo }) => {
     return owner !== null && leaving.has(owner) && movingTo === null;
   });
-  const moves = toEmpty.flatMap((range) => placeRange(range, candidates, view.load));
+  const moves = rangesToDrain.flatMap((range) => placeRange(range, candidates, view.load));
   if (moves.length > 0 || assignments.length > 0 || !view.mayBalance) {
     return { assignments, moves, forBalance: false };
   }
   return { assignments, moves: planBalance(view, candidates), forBalance: true };
 }
 
-function mayHold({ condition, zone }: BackendInstance, { evacuatedZones }: RangeView): boolean {
+function mayOwnKeys({ condition, zone }: BackendInstance, { evacuatedZones }: RangeView): boolean {
   return condition === 'ready' && !evacuatedZones.has(zone);
 }
 
 function makeCandidates(view: RangeView): Candidate[] {
   const { ranges, instances, load } = view;
-  const ready = instances.filter((instance) => mayHold(instance, view));
+  const ready = instances.filter((instance) => mayOwnKeys(instance, view));
   const candidates = ready.map(({ id, slots }) => ({ id, slots, busy: 0, keys: 0 }));
   const byId = new Map(candidates.map((candidate) => [candidate.id, candidate]));
   for (const range of ranges) {
-    const holder = byId.get(range.movingTo ?? range.owner ?? '');
-    if (holder === undefined) continue;
-    holder.busy += load.ofSpan(range.from, range.to);
-    holder.keys += range.to - range.from + 1;
+    const owner = byId.get(range.movingTo ?? range.owner ?? '');
+    if (owner === undefined) continue;
+    owner.busy += load.ofSpan(range.from, range.to);
+    owner.keys += range.to - range.from + 1;
   }
   return candidates.sort((left, right) => (left.id < right.id ? -1 : 1));
 }
 
-/** Nothing is known of the load yet, so each back end gets keys in proportion to its slots. */
+/** Divides all keys in proportion to the back ends' slots, for a first assignment without load figures. */
 function divideEvenly(candidates: readonly Candidate[]): SpanTarget[] {
   const slots = candidates.reduce((sum, candidate) => sum + candidate.slots, 0);
   const keys = LAST_KEY - FIRST_KEY + 1;
@@ -134,67 +136,73 @@
   return targets;
 }
 
-/** Gives a range to the back ends that have most room, in pieces if it would overload one. */
+/** Assigns a range to the least utilized back ends, in pieces if it would overload a single one. */
 function placeRange(range: KeyRange, candidates: readonly Candidate[], load: KeyLoad): SpanTarget[] {
   const targets: SpanTarget[] = [];
   let from = range.from;
-  let rest = load.ofSpan(range.from, range.to);
+  let remainingLoad = load.ofSpan(range.from, range.to);
   for (let piece = 1; from <= range.to; piece += 1) {
-    const taker = leastBusy(candidates);
-    if (taker === null) break;
-    const next = candidates.filter((candidate) => candidate !== taker);
-    const room = roomBefore(taker, leastBusy(next));
-    const takesAll = piece >= MAX_PIECES || next.length === 0 || rest <= Math.max(room, taker.slots * 0.1);
-    const to = takesAll ? range.to : endOfLoad(from, range.to, room, load);
-    const taken = load.ofSpan(from, to);
-    targets.push({ from, to, backend: taker.id });
-    taker.busy += taken;
-    taker.keys += to - from + 1;
-    rest -= taken;
+    const receiver = leastUtilized(candidates);
+    if (receiver === null) break;
+    const otherCandidates = candidates.filter((candidate) => candidate !== receiver);
+    const capacity = capacityBeforeNext(receiver, leastUtilized(otherCandidates));
+    const assignsAll =
+      piece >= MAX_PIECES_PER_RANGE ||
+      otherCandidates.length === 0 ||
+      remainingLoad <= Math.max(capacity, receiver.slots * 0.1);
+    const to = assignsAll ? range.to : endOfSpanWithLoad(from, range.to, capacity, load);
+    const assignedLoad = load.ofSpan(from, to);
+    targets.push({ from, to, backend: receiver.id });
+    receiver.busy += assignedLoad;
+    receiver.keys += to - from + 1;
+    remainingLoad -= assignedLoad;
     from = to + 1;
   }
   return targets;
 }
 
-/** Load that a back end can take before it is as busy as the next one, plus a fair part of the rest. */
-function roomBefore(taker: Candidate, next: Candidate | null): number {
+/** Load that a back end can receive until its utilization exceeds that of the next one by half the allowed difference. */
+function capacityBeforeNext(receiver: Candidate, next: Candidate | null): number {
   if (next === null) return Infinity;
-  const level = next.busy / next.slots + PLACING_DIFFERENCE / 2;
-  return Math.max(0, level * taker.slots - taker.busy);
+  const maxUtilization = next.busy / next.slots + ALLOWED_UTILIZATION_DIFFERENCE / 2;
+  return Math.max(0, maxUtilization * receiver.slots - receiver.busy);
 }
 
-function endOfLoad(from: number, to: number, wanted: number, load: KeyLoad): number {
+function endOfSpanWithLoad(from: number, to: number, targetLoad: number, load: KeyLoad): number {
   let sum = 0;
   for (let bucket = bucketOf(from); bucket < bucketOf(to); bucket += 1) {
     sum += load.ofBucket(bucket);
-    if (sum >= wanted) return Math.max(from, (bucket + 1) * KEYS_PER_BUCKET - 1);
+    if (sum >= targetLoad) return Math.max(from, (bucket + 1) * KEYS_PER_BUCKET - 1);
   }
   return to;
 }
 
-function leastBusy(candidates: readonly Candidate[]): Candidate | null {
+function leastUtilized(candidates: readonly Candidate[]): Candidate | null {
   let best: Candidate | null = null;
   for (const candidate of candidates) {
-    if (best === null || isIdler(candidate, best)) best = candidate;
+    if (best === null || isLessUtilized(candidate, best)) best = candidate;
   }
   return best;
 }
 
-function isIdler(left: Candidate, right: Candidate): boolean {
+function isLessUtilized(left: Candidate, right: Candidate): boolean {
   const difference = left.busy / left.slots - right.busy / right.slots;
   if (Math.abs(difference) > 0.01) return difference < 0;
   return left.keys < right.keys;
 }
 
-/** Moves spans from busy to idle back ends until none is far from the others, or none can be helped. */
+/** Moves spans from busy to idle back ends until the load is balanced, no move helps, or the limit is reached. */
 function planBalance(view: RangeView, candidates: readonly Candidate[]): SpanTarget[] {
   if (view.ranges.some(({ movingTo }) => movingTo !== null)) return [];
-  const limits = view.movesAreCostly ? COSTLY_MOVE_LIMITS : CHEAP_MOVE_LIMITS;
-  const mostMoves = Math.max(LEAST_BALANCE_MOVES, Math.floor(candidates.length / BACK_ENDS_PER_BALANCE_MOVE));
+  const thresholds = view.movesAreCostly ? COSTLY_MOVE_THRESHOLDS : CHEAP_MOVE_THRESHOLDS;
+  const maxMoves = Math.max(
+    MIN_BALANCE_MOVE_LIMIT,
+    Math.floor(candidates.length / BACK_ENDS_PER_BALANCE_MOVE),
+  );
   const moves: SpanTarget[] = [];
   let { ranges } = view;
-  while (moves.length < mostMoves) {
-    const move = nextBalanceMove({ ...view, ranges }, candidates, limits);
+  while (moves.length < maxMoves) {
+    const move = nextBalanceMove({ ...view, ranges }, candidates, thresholds);
     if (move === null) break;
     moves.push(move);
     ranges = changeSpan(ranges, move, (range) => ({ ...range, owner: move.backend, movingTo: move.backend }));
@@ -202,25 +210,29 @@
   return moves;
 }
 
-/** The busiest back end may hold nothing that can leave it, such as one very busy key; then the next one is helped. */
+/**
+ * Plans one balance move. If the busiest back end has no span that can be moved, for example because a single very busy
+ * key causes its load, the next busiest one is tried.
+ */
 function nextBalanceMove(
   view: RangeView,
   candidates: readonly Candidate[],
-  limits: BalanceLimits,
+  thresholds: BalanceThresholds,
 ): SpanTarget | null {
   const { ranges, load } = view;
-  const idlest = leastBusy(candidates);
-  if (idlest === null) return null;
-  for (const giver of [...candidates].sort((left, right) => utilization(right) - utilization(left))) {
-    if (giver === idlest || !isOutOfBalance(giver, idlest, limits)) return null;
-    const wanted = ((utilization(giver) - utilization(idlest)) / 2) * Math.min(giver.slots, idlest.slots);
-    const owned = ranges.filter(({ owner, movingTo }) => owner === giver.id && movingTo === null);
-    const span = smallestSpan(owned, wanted, view) ?? mostLoadedSpan(owned, wanted, view);
+  const receiver = leastUtilized(candidates);
+  if (receiver === null) return null;
+  for (const source of [...candidates].sort((left, right) => utilization(right) - utilization(left))) {
+    if (source === receiver || !isOutOfBalance(source, receiver, thresholds)) return null;
+    const targetLoad =
+      ((utilization(source) - utilization(receiver)) / 2) * Math.min(source.slots, receiver.slots);
+    const owned = ranges.filter(({ owner, movingTo }) => owner === source.id && movingTo === null);
+    const span = smallestSpan(owned, targetLoad, view) ?? mostLoadedSpan(owned, targetLoad, view);
     if (span === null) continue;
     const moved = load.ofSpan(span.from, span.to);
-    giver.busy -= moved;
-    idlest.busy += moved;
-    return { ...span, backend: idlest.id };
+    source.busy -= moved;
+    receiver.busy += moved;
+    return { ...span, backend: receiver.id };
   }
   return null;
 }
@@ -229,42 +241,42 @@
   return busy / slots;
 }
 
-function isOutOfBalance(giver: Candidate, idlest: Candidate, limits: BalanceLimits): boolean {
-  const busy = utilization(giver);
-  return busy >= limits.utilization && busy - utilization(idlest) >= limits.difference;
+function isOutOfBalance(source: Candidate, receiver: Candidate, thresholds: BalanceThresholds): boolean {
+  const used = utilization(source);
+  return used >= thresholds.minUtilization && used - utilization(receiver) >= thresholds.minDifference;
 }
 
-/** The fewest keys that carry about `wanted`; null when there are none, as where one bucket carries far more. */
-function smallestSpan(owned: readonly KeyRange[], wanted: number, view: RangeView): KeySpan | null {
+/** Finds the span with the fewest keys and about `targetLoad`; null if there is none, such as when one bucket has far more. */
+function smallestSpan(owned: readonly KeyRange[], targetLoad: number, view: RangeView): KeySpan | null {
   let best: KeySpan | null = null;
   for (const range of owned) {
-    const span = smallestSpanIn(range, wanted, view);
+    const span = smallestSpanIn(range, targetLoad, view);
     if (span === null) continue;
     if (best === null || span.to - span.from < best.to - best.from) best = span;
   }
   return best;
 }
 
-/** The keys beside a very busy one: the span that carries most without carrying much more than `wanted`. */
+/** Finds the span with the most load not far above `targetLoad`: used to move the keys next to a very busy one. */
 function mostLoadedSpan(
   owned: readonly KeyRange[],
-  wanted: number,
-  { load, rests }: RangeView,
+  targetLoad: number,
+  { load, isCoolingDown }: RangeView,
 ): KeySpan | null {
   let best: KeySpan | null = null;
-  let bestLoad = LEAST_MOVED_LOAD;
+  let bestLoad = MIN_MOVED_LOAD;
   for (const range of owned) {
     const last = bucketOf(range.to);
     let start = bucketOf(range.from);
     let sum = 0;
     for (let end = start; end <= last; end += 1) {
-      if (rests(end)) {
+      if (isCoolingDown(end)) {
         start = end + 1;
         sum = 0;
         continue;
       }
       sum += load.ofBucket(end);
-      while (start <= end && sum > wanted * LARGEST_PART_OF_WANTED) {
+      while (start <= end && sum > targetLoad * MAX_TARGET_FRACTION) {
         sum -= load.ofBucket(start);
         start += 1;
       }
@@ -276,27 +288,32 @@
   return best;
 }
 
-const LEAST_PART_OF_WANTED = 0.6;
-const LARGEST_PART_OF_WANTED = 1.4;
+/** Range of load accepted for a moved span, as fractions of the target load. */
+const MIN_TARGET_FRACTION = 0.6;
+const MAX_TARGET_FRACTION = 1.4;
 
-function smallestSpanIn(range: KeyRange, wanted: number, { load, rests }: RangeView): KeySpan | null {
+function smallestSpanIn(
+  range: KeyRange,
+  targetLoad: number,
+  { load, isCoolingDown }: RangeView,
+): KeySpan | null {
   const first = bucketOf(range.from);
   const last = bucketOf(range.to);
   let best: KeySpan | null = null;
   let start = first;
   let sum = 0;
   for (let end = first; end <= last; end += 1) {
-    if (rests(end)) {
+    if (isCoolingDown(end)) {
       start = end + 1;
       sum = 0;
       continue;
     }
     sum += load.ofBucket(end);
-    while (start < end && sum - load.ofBucket(start) >= wanted * LEAST_PART_OF_WANTED) {
+    while (start < end && sum - load.ofBucket(start) >= targetLoad * MIN_TARGET_FRACTION) {
       sum -= load.ofBucket(start);
       start += 1;
     }
-    if (sum < wanted * LEAST_PART_OF_WANTED || sum > wanted * LARGEST_PART_OF_WANTED) continue;
+    if (sum < targetLoad * MIN_TARGET_FRACTION || sum > targetLoad * MAX_TARGET_FRACTION) continue;
     const span = spanOfBuckets(range, start, end);
     if (best === null || span.to - span.from < best.to - best.from) best = span;
   }
--- a/src/directory/directory-duties.ts
+++ b/src/directory/range-planning-loop.ts
@@ -1,4 +1,4 @@
-/** What the leader of a directory does by itself: it plans the ranges of every keyed service. */
+/** Periodic task of the directory's leader that plans the key ranges of every keyed service. */
 import { policyIsOn } from '../policy-switches.js';
 import type { Proposals } from '../control/proposals.js';
 import type { DirectoryCommand, DirectoryOutcome } from './directory-commands.js';
@@ -6,27 +6,27 @@
 import { KeyLoad } from './key-load.js';
 import { planRanges, type RangePlan } from './range-planner.js';
 
-/** Time in ms without a new back end after which keys that were never assigned are assigned. */
-const FIRST_ASSIGNMENT_QUIET_MS = 1_500;
+/** Time in ms without a change in the number of back ends before keys are assigned for the first time. */
+const FIRST_ASSIGNMENT_QUIET_PERIOD_MS = 1_500;
 
-/** Length of a window of load, in ms. */
+/** Length in ms of a load measurement window. */
 const LOAD_WINDOW_MS = policyIsOn('quick-balance') ? 500 : 1_000;
 
-/** Pause after a move for balance, in ms: the load must be seen anew first. */
-const BALANCE_PAUSE_MS = 2_000;
+/** Minimum time in ms between plans that may move keys for balance: the load must be measured again first. */
+const MIN_REBALANCE_INTERVAL_MS = 2_000;
 
-interface ServiceProgress {
+interface ServicePlanningState {
   readonly load: KeyLoad;
-  instancesSeen: number;
-  lastJoinMs: number;
-  proposalUnderWay: boolean;
-  balanceDueMs: number;
+  lastInstanceCount: number;
+  lastInstanceChangeMs: number;
+  proposalInFlight: boolean;
+  nextRebalanceMs: number;
   windowEndMs: number;
 }
 
-/** The planning loop of a leader. */
-export class DirectoryDuties {
-  private readonly progress = new Map<string, ServiceProgress>();
+/** Plans key ranges while this replica leads. */
+export class RangePlanningLoop {
+  private readonly progress = new Map<string, ServicePlanningState>();
 
   constructor(
     private readonly state: () => DirectoryState,
@@ -34,17 +34,17 @@
     private readonly onPlan: (service: string, plan: RangePlan) => void,
   ) {}
 
-  /** This replica has become leader; the load is reported anew. */
+  /** Discards all load figures when this replica becomes leader; daemons report their load again. */
   startLeading(): void {
     this.progress.clear();
   }
 
-  /** A daemon reports the load of its back end. */
+  /** Records the load that a daemon reported for its back end. */
   reportLoad(service: string, load: readonly (readonly [number, number])[], nowMs: number): void {
     if (load.length > 0) this.progressOf(service, nowMs).load.add(load);
   }
 
-  /** Plans every keyed service that no earlier plan is under way for. */
+  /** Plans every keyed service whose previous plan is no longer in flight. */
   run(nowMs: number): void {
     for (const [service, ranges] of this.state().ranges) this.planService(service, ranges, nowMs);
   }
@@ -53,18 +53,19 @@
     const progress = this.progressOf(service, nowMs);
     this.closeWindow(progress, nowMs);
     const instances = [...this.state().instances.values()].filter((instance) => instance.service === service);
-    if (instances.length !== progress.instancesSeen) {
-      progress.instancesSeen = instances.length;
-      progress.lastJoinMs = nowMs;
+    if (instances.length !== progress.lastInstanceCount) {
+      progress.lastInstanceCount = instances.length;
+      progress.lastInstanceChangeMs = nowMs;
     }
     const neverAssigned = ranges.every(({ fence }) => fence === 0);
-    if (neverAssigned && nowMs - progress.lastJoinMs < FIRST_ASSIGNMENT_QUIET_MS) return;
-    if (progress.proposalUnderWay) return;
-    const mayBalance = nowMs >= progress.balanceDueMs;
+    if (neverAssigned && nowMs - progress.lastInstanceChangeMs < FIRST_ASSIGNMENT_QUIET_PERIOD_MS) return;
+    if (progress.proposalInFlight) return;
+    const mayBalance = nowMs >= progress.nextRebalanceMs;
     const definition = serviceDefinition(this.state().items, service);
     const movesAreCostly = definition?.grantMode === 'heartbeat';
     const { load } = progress;
-    const rests = (bucket: number): boolean => policyIsOn('move-rest') && load.rests(bucket, nowMs);
+    const isCoolingDown = (bucket: number): boolean =>
+      policyIsOn('move-rest') && load.isCoolingDown(bucket, nowMs);
     const { evacuatedZones } = this.state();
     const plan = planRanges({
       ranges,
@@ -73,16 +74,16 @@
       mayBalance,
       movesAreCostly,
       evacuatedZones,
-      rests,
+      isCoolingDown,
     });
     if (plan.assignments.length === 0 && plan.moves.length === 0) return;
-    if (mayBalance) progress.balanceDueMs = nowMs + BALANCE_PAUSE_MS;
-    if (plan.forBalance) for (const { from, to } of plan.moves) load.noteMoved(from, to, nowMs);
+    if (mayBalance) progress.nextRebalanceMs = nowMs + MIN_REBALANCE_INTERVAL_MS;
+    if (plan.forBalance) for (const { from, to } of plan.moves) load.recordMove(from, to, nowMs);
     this.onPlan(service, plan);
     void this.propose(service, plan, progress);
   }
 
-  private async propose(service: string, plan: RangePlan, progress: ServiceProgress): Promise<void> {
+  private async propose(service: string, plan: RangePlan, progress: ServicePlanningState): Promise<void> {
     const commands: DirectoryCommand[] = [];
     if (plan.assignments.length > 0) {
       const assignments = plan.assignments.map(({ from, to, backend }) => ({ from, to, owner: backend }));
@@ -92,27 +93,27 @@
       const moves = plan.moves.map(({ from, to, backend }) => ({ from, to, target: backend }));
       commands.push({ kind: 'begin-range-moves', service, moves });
     }
-    progress.proposalUnderWay = true;
+    progress.proposalInFlight = true;
     await Promise.all(commands.map(async (command) => await this.proposals.propose(command)));
-    progress.proposalUnderWay = false;
+    progress.proposalInFlight = false;
   }
 
-  private closeWindow(progress: ServiceProgress, nowMs: number): void {
+  private closeWindow(progress: ServicePlanningState, nowMs: number): void {
     const sinceMs = nowMs - (progress.windowEndMs - LOAD_WINDOW_MS);
     if (sinceMs < LOAD_WINDOW_MS) return;
     progress.load.closeWindow(sinceMs);
     progress.windowEndMs = nowMs + LOAD_WINDOW_MS;
   }
 
-  private progressOf(service: string, nowMs: number): ServiceProgress {
+  private progressOf(service: string, nowMs: number): ServicePlanningState {
     const known = this.progress.get(service);
     if (known !== undefined) return known;
-    const progress: ServiceProgress = {
+    const progress: ServicePlanningState = {
       load: new KeyLoad(),
-      instancesSeen: 0,
-      lastJoinMs: nowMs,
-      proposalUnderWay: false,
-      balanceDueMs: nowMs + BALANCE_PAUSE_MS,
+      lastInstanceCount: 0,
+      lastInstanceChangeMs: nowMs,
+      proposalInFlight: false,
+      nextRebalanceMs: nowMs + MIN_REBALANCE_INTERVAL_MS,
       windowEndMs: nowMs + LOAD_WINDOW_MS,
     };
     this.progress.set(service, progress);
--- a/src/directory/replica-address.ts
+++ b/src/directory/replica-address.ts
@@ -1,13 +1,13 @@
-/** Addresses written as `host:port`, which also serve as names of directory replicas. */
+/** Addresses in the form `host:port`, which also serve as names of directory replicas. */
 import type { SocketAddress } from '../model/socket-address.js';
 
-const LARGEST_PORT = 65_535;
+const MAX_PORT = 65_535;
 
-/** Reads `host:port`; null when it is not one. */
+/** Parses `host:port`; returns null when the text is not a valid address. */
 export function parseAddress(text: string): SocketAddress | null {
   const colon = text.lastIndexOf(':');
   const host = text.slice(0, colon);
   const port = Number(text.slice(colon + 1));
-  const valid = colon > 0 && Number.isInteger(port) && port > 0 && port <= LARGEST_PORT;
+  const valid = colon > 0 && Number.isInteger(port) && port > 0 && port <= MAX_PORT;
   return valid ? { host, port } : null;
 }
--- a/src/placement/backend-loads.ts
+++ b/src/placement/backend-loads.ts
@@ -1,22 +1,22 @@
-/** Load of the back ends while a plan is made: what they hold, and what the plan adds. */
+/** Load of the back ends during planning: their current shards plus those that the plan adds. */
 import type { ShardRow } from '../model/shard.js';
 import type { PlacementBackend } from './planner.js';
 
-/** One back end. */
+/** Planned load of one back end. */
 export interface BackendLoad {
   readonly name: string;
   readonly zone: string;
   load: number;
-  /** Shards that it holds, those on their way to it included. */
+  /** Number of shards that it owns, including those moving to it. */
   shards: number;
-  /** Shards that it holds and that are not moving. */
-  readonly settled: number[];
+  /** Shards that it owns and that are not moving. */
+  readonly stationary: number[];
 }
 
-/** Loads of the back ends that may get shards. */
+/** Loads of the back ends that may receive shards. */
 export class BackendLoads {
   readonly active: readonly BackendLoad[];
-  /** Mean load once every shard has an owner among them. */
+  /** Mean load when every shard is owned by one of them. */
   readonly mean: number;
   private readonly byName = new Map<string, BackendLoad>();
   private heap: LeastLoadedHeap | null = null;
@@ -27,7 +27,7 @@
     loadOf: (shard: number) => number,
   ) {
     for (const { name, zone, draining } of backends) {
-      if (!draining) this.byName.set(name, { name, zone, load: 0, shards: 0, settled: [] });
+      if (!draining) this.byName.set(name, { name, zone, load: 0, shards: 0, stationary: [] });
     }
     this.active = [...this.byName.values()];
     let total = 0;
@@ -40,9 +40,9 @@
   }
 
   /** Adds load to the least loaded back end and returns its name. */
-  addToLeast(load: number): string {
+  addToLeastLoaded(load: number): string {
     this.heap ??= new LeastLoadedHeap([...this.active]);
-    return this.heap.addToLeast(load);
+    return this.heap.addToLeastLoaded(load);
   }
 
   /** Adds load to a back end. */
@@ -53,30 +53,30 @@
   }
 
   private count(row: ShardRow, load: number): void {
-    const holder = this.byName.get(row.movingTo ?? row.owner ?? '');
-    if (holder === undefined) return;
-    holder.load += load;
-    holder.shards += 1;
-    if (row.movingTo === null) holder.settled.push(row.shard);
+    const owner = this.byName.get(row.movingTo ?? row.owner ?? '');
+    if (owner === undefined) return;
+    owner.load += load;
+    owner.shards += 1;
+    if (row.movingTo === null) owner.stationary.push(row.shard);
   }
 }
 
-/** Binary heap of back ends by load, so that placing n shards on m back ends costs n log m. */
+/** Binary heap of back ends by load: placing n shards on m back ends takes O(n log m). */
 class LeastLoadedHeap {
   constructor(private readonly heap: BackendLoad[]) {
-    for (let at = Math.floor(this.heap.length / 2) - 1; at >= 0; at -= 1) this.sink(at);
+    for (let at = Math.floor(this.heap.length / 2) - 1; at >= 0; at -= 1) this.siftDown(at);
   }
 
-  addToLeast(load: number): string {
+  addToLeastLoaded(load: number): string {
     const least = this.heap[0];
     if (least === undefined) throw new Error('invariant broken: no back end to place on');
     least.load += load;
     least.shards += 1;
-    this.sink(0);
+    this.siftDown(0);
     return least.name;
   }
 
-  private sink(start: number): void {
+  private siftDown(start: number): void {
     let at = start;
     for (;;) {
       const left = 2 * at + 1;
@@ -89,10 +89,10 @@
 
   private smallestOf(...positions: number[]): number {
     const present = positions.filter((position) => position < this.heap.length);
-    return present.reduce((best, position) => (this.before(position, best) ? position : best));
+    return present.reduce((best, position) => (this.isBefore(position, best) ? position : best));
   }
 
-  private before(left: number, right: number): boolean {
+  private isBefore(left: number, right: number): boolean {
     const a = this.heap[left];
     const b = this.heap[right];
     if (a === undefined || b === undefined) return false;
--- a/src/placement/measures.ts
+++ b/src/placement/measures.ts
@@ -1,13 +1,13 @@
-/** The three measures of the users, defined once for daemons and lab; see docs/MEASURES.md. */
+/** The three service quality measures, shared by daemons and lab; see docs/MEASURES.md. */
 
-/** Largest load over mean load; 1 is even. Also 1 when there is no load. */
+/** Returns the ratio of the largest load to the mean load; 1 is perfectly even, also when there is no load. */
 export function imbalance(loads: readonly number[]): number {
   const total = loads.reduce((sum, load) => sum + load, 0);
   if (loads.length === 0 || total === 0) return 1;
   return Math.max(...loads) / (total / loads.length);
 }
 
-/** One attempt to use a shard, as a caller saw it. Times in ms of one clock. */
+/** One attempt to use a shard, as observed by a caller. Times are in ms of a single clock. */
 export interface ShardUse {
   readonly sentMs: number;
   readonly endedMs: number;
@@ -15,8 +15,8 @@
 }
 
 /**
- * Unavailable times of one shard, in ms: from the sending of the first use that failed to the end of the
- * first later-sent use that was answered. A time that never ended runs to the last use.
+ * Returns the durations in ms for which one shard was unavailable: from the start of the first failed use to the end of
+ * the first later-sent use that was answered. One that has not ended lasts until the end of the last use.
  */
 export function unavailableTimes(uses: readonly ShardUse[]): number[] {
   const bySending = [...uses].sort((left, right) => left.sentMs - right.sentMs);
@@ -35,7 +35,7 @@
   return times;
 }
 
-/** The value below which a share of the sorted values lie (nearest rank); 0 when there are none. */
+/** Returns a percentile by the nearest-rank method, with `share` from 0 to 1; 0 when there are no values. */
 export function percentile(values: readonly number[], share: number): number {
   const sorted = [...values].sort((left, right) => left - right);
   return sorted[Math.max(0, Math.ceil(share * sorted.length) - 1)] ?? 0;
--- a/src/placement/placement-preview.ts
+++ b/src/placement/placement-preview.ts
@@ -1,4 +1,4 @@
-/** What a change of configuration would do to placement: the planner run to its end on a copy of the state. */
+/** Previews the effect of a configuration change on placement by running the planner to completion on a copy. */
 import type { ConfigurationDocument, ServiceConfiguration } from '../config/configuration.js';
 import { emptyShardRow, type ShardRow } from '../model/shard.js';
 import { BASE_LOAD } from '../control/load-table.js';
@@ -6,47 +6,47 @@
 import { imbalance } from './measures.js';
 import { planPlacement, type PlacementBackend } from './planner.js';
 
-/** Plans in a row after which a preview stops, should placement not settle. */
+/** Maximum number of consecutive plans in a preview, in case placement does not converge. */
 const MAX_PLANS = 2_000;
 
-const MOVES_IN_A_PLAN = 16;
+const MAX_BALANCE_MOVES_PER_PLAN = 16;
 
-const MINUTE = 60;
+const SECONDS_PER_MINUTE = 60;
 
-/** State that a preview starts from. */
+/** State from which a preview starts. */
 export interface PreviewState {
   readonly configuration: { readonly revision: number; readonly document: ConfigurationDocument };
   readonly sessions: readonly { readonly backend: string; readonly service: string }[];
   readonly draining: readonly string[];
   readonly shards: readonly { readonly service: string; readonly rows: readonly ShardRow[] }[];
-  /** Requests a second by service and shard. */
+  /** Requests per second by service and shard. */
   readonly loads: readonly {
     readonly service: string;
     readonly rates: readonly (readonly [number, number])[];
   }[];
 }
 
-/** What would happen to one service. */
+/** Effect of the change on one service. */
 export interface ServicePreview {
   readonly service: string;
   readonly change: 'added' | 'changed' | 'removed' | 'unchanged';
-  /** Shards without owner that would get one. */
+  /** Number of unowned shards that would be assigned. */
   readonly assignments: number;
-  /** Shards that would change owner by planned moves. */
+  /** Number of shards that would change owner by planned moves. */
   readonly churn: number;
-  /** The same if the configuration stayed as it is: what balance would move anyway. */
+  /** The same number without the change: moves that balancing would make anyway. */
   readonly churnWithoutChange: number;
-  /** Largest over mean load, now and once all moves are done. */
+  /** Ratio of largest to mean load, now and after all moves. */
   readonly imbalanceBefore: number;
   readonly imbalanceAfter: number;
-  /** Time that the moves take at the configured pace, in seconds. */
+  /** Duration of the moves in seconds at the configured rate. */
   readonly seconds: number;
-  /** Shards and where they would go, in order. */
+  /** Shards with their new owners, in the order of assignment. */
   readonly moves: readonly { readonly shard: number; readonly from: string | null; readonly to: string }[];
   readonly policyProblem: string | null;
 }
 
-/** Previews every service of the present and the new configuration. */
+/** Previews every service of the current and the new configuration. */
 export function previewPlacement(state: PreviewState, document: ConfigurationDocument): ServicePreview[] {
   const before = state.configuration.document.services;
   const names = new Set([...Object.keys(before), ...Object.keys(document.services)]);
@@ -121,7 +121,7 @@
       churnWithoutChange: change === 'unchanged' ? planned : 0,
       imbalanceBefore,
       imbalanceAfter: this.imbalance(),
-      seconds: maxMovesPerMinute === 0 ? 0 : Math.ceil((planned * MINUTE) / maxMovesPerMinute),
+      seconds: maxMovesPerMinute === 0 ? 0 : Math.ceil((planned * SECONDS_PER_MINUTE) / maxMovesPerMinute),
       moves: this.moves,
       policyProblem: this.policyProblem,
     };
@@ -133,7 +133,7 @@
       backends: this.backends,
       loadOf: (shard) => this.loadOf(shard),
       toleratedImbalance: this.service.placement.toleratedImbalance,
-      maxBalanceMoves: MOVES_IN_A_PLAN,
+      maxBalanceMoves: MAX_BALANCE_MOVES_PER_PLAN,
       policy: this.policy,
     });
     this.policyProblem ??= plan.policyProblem;
@@ -161,7 +161,7 @@
   }
 }
 
-/** Back ends that have a session now; those that the new configuration adds count as if they came at once. */
+/** Back ends with an open session, plus those added by the new configuration, which are assumed to start at once. */
 function backendsAfter(state: PreviewState, name: string, service: ServiceConfiguration): PlacementBackend[] {
   const present = state.sessions.filter((session) => session.service === name).map(({ backend }) => backend);
   const configuredBefore = state.configuration.document.services[name]?.backends ?? {};
--- a/src/placement/planner.ts
+++ b/src/placement/planner.ts
@@ -1,6 +1,6 @@
 /**
- * Decides which shards go where: first shards without owner, then shards of leaving back ends, then balance.
- * Pure: the same input gives the same plan. Load is counted in the caller's unit, such as requests a second.
+ * Plans the placement of shards: first unowned shards, then shards of leaving back ends, then balancing.
+ * Pure: the same input gives the same plan. Load is in the caller's unit, such as requests per second.
  */
 import type { ShardRow } from '../model/shard.js';
 import type { ShardTarget } from '../control/commands.js';
@@ -12,47 +12,47 @@
 export interface PlacementBackend {
   readonly name: string;
   readonly zone: string;
-  /** Leaving: keeps what it has until it is moved, and gets nothing new. */
+  /** Whether the back end is leaving: it keeps its shards until they are moved and receives no new ones. */
   readonly draining: boolean;
 }
 
-/** What a plan is made from. */
+/** Input of a plan. */
 export interface PlacementInput {
   readonly rows: readonly ShardRow[];
   /** Back ends with an open session. */
   readonly backends: readonly PlacementBackend[];
-  /** Load by shard number. */
+  /** Returns the load of a shard. */
   readonly loadOf: (shard: number) => number;
-  /** Largest load over mean load that is left as it is. */
+  /** Ratio of largest to mean load up to which no balance moves are planned. */
   readonly toleratedImbalance: number;
-  /** Most moves for balance in this plan; moves off leaving back ends are not counted. */
+  /** Maximum number of balance moves in this plan; moves from leaving back ends are not counted. */
   readonly maxBalanceMoves: number;
-  /** Most assignments in this plan; moves wait until the last shard has an owner. Without limit when left out. */
+  /** Maximum number of assignments in this plan, unlimited if omitted; moves wait until every shard is assigned. */
   readonly maxAssignments?: number;
-  /** Null where load alone decides. */
+  /** Placement policy; null when load alone decides. */
   readonly policy?: Policy | null;
 }
 
-/** What to do. */
+/** Planned assignments and moves. */
 export interface PlacementPlan {
-  /** Shards without owner and who gets them. */
+  /** Unowned shards and their new owners. */
   readonly assignments: readonly ShardTarget[];
-  /** Planned moves between live owners. */
+  /** Moves between live owners. */
   readonly moves: readonly ShardTarget[];
-  /** Why the policy could not be followed, if so; the plan was then made by load alone. */
+  /** Why the policy could not be followed; null if it was. Shards concerned were then placed by load alone. */
   readonly policyProblem: string | null;
 }
 
-/** Chooses a back end for a shard and counts the load there. */
+/** Strategy that chooses a back end for a shard and adds the shard's load to it. */
 export interface Chooser {
-  /** Null when this plan may not choose any more; the next one goes on. */
+  /** Returns the chosen back end; null when this plan's budget is exhausted and the next plan must continue. */
   choose(row: ShardRow, load: number): string | null;
-  /** Whether a shard may be moved to a back end for balance. */
+  /** Whether a shard may be moved to `target` for balance. */
   mayBalance(row: ShardRow, load: number, target: BackendLoad): boolean;
   readonly problem: string | null;
 }
 
-/** Makes a plan. */
+/** Plans assignments and moves. */
 export function planPlacement(input: PlacementInput): PlacementPlan {
   const loads = new BackendLoads(input.backends, input.rows, input.loadOf);
   if (loads.active.length === 0) return { assignments: [], moves: [], policyProblem: null };
@@ -67,14 +67,14 @@
   return { assignments, moves: [...drainMoves, ...balanceMoves], policyProblem: chooser.problem };
 }
 
-/** By load alone: the least loaded back end, the greedy rule for makespan. */
+/** Chooses the least loaded back end: greedy scheduling for makespan. */
 class LoadChooser implements Chooser {
   readonly problem = null;
 
   constructor(private readonly loads: BackendLoads) {}
 
   choose(_row: ShardRow, load: number): string {
-    return this.loads.addToLeast(load);
+    return this.loads.addToLeastLoaded(load);
   }
 
   mayBalance(): boolean {
@@ -89,7 +89,7 @@
   });
 }
 
-/** Heaviest shards first, since the light ones even out what those leave. */
+/** Places the heaviest shards first, since light ones can even out the remaining differences. */
 function placeAll(rows: readonly ShardRow[], input: PlacementInput, chooser: Chooser): ShardTarget[] {
   const heaviestFirst = rows.map((row) => ({ row, load: input.loadOf(row.shard) }));
   heaviestFirst.sort((left, right) => right.load - left.load || left.row.shard - right.row.shard);
@@ -103,52 +103,60 @@
 }
 
 /**
- * Moves shards from the most loaded to the least loaded back end while that narrows the gap and one of them is
- * further from the mean than is tolerated. Each step takes the shard that fits the gap best, so that few moves
- * are needed.
+ * Moves shards from the most to the least loaded back end while that narrows the gap and one of them is further from
+ * the mean than tolerated. Each step moves the shard that fits the gap best, so that few moves are needed.
  */
 function planBalanceMoves(input: PlacementInput, loads: BackendLoads, chooser: Chooser): ShardTarget[] {
   const moves: ShardTarget[] = [];
   const { mean } = loads;
-  const all = [...loads.active];
+  const byLoad = [...loads.active];
   let byShard: ReadonlyMap<number, ShardRow> | null = null;
   while (moves.length < input.maxBalanceMoves) {
-    all.sort((left, right) => right.load - left.load || compareNames(left, right));
-    const most = all[0];
-    const least = all.at(-1);
-    if (most === undefined || least === undefined) break;
-    if (isTolerated(most, least, mean, input.toleratedImbalance)) break;
+    byLoad.sort((left, right) => right.load - left.load || compareNames(left, right));
+    const mostLoaded = byLoad[0];
+    const leastLoaded = byLoad.at(-1);
+    if (mostLoaded === undefined || leastLoaded === undefined) break;
+    if (isTolerated(mostLoaded, leastLoaded, mean, input.toleratedImbalance)) break;
     byShard ??= new Map(input.rows.map((row) => [row.shard, row]));
-    const row = bestToMove(most, least, input, chooser, byShard);
+    const row = bestShardToMove(mostLoaded, leastLoaded, input, chooser, byShard);
     if (row === null) break;
-    moveShard(row.shard, most, least, input.loadOf(row.shard));
-    moves.push({ shard: row.shard, backend: least.name });
+    moveShard(row.shard, mostLoaded, leastLoaded, input.loadOf(row.shard));
+    moves.push({ shard: row.shard, backend: leastLoaded.name });
   }
   return moves;
 }
 
-/** Among many back ends one may be empty while the largest load is near the mean, so both ends count. */
-function isTolerated(most: BackendLoad, least: BackendLoad, mean: number, tolerated: number): boolean {
-  return most.load <= mean * tolerated && least.load >= mean / tolerated;
+/**
+ * Whether both the largest and the smallest load are within tolerance. With many back ends, one may be empty while the
+ * largest load is near the mean.
+ */
+function isTolerated(
+  mostLoaded: BackendLoad,
+  leastLoaded: BackendLoad,
+  mean: number,
+  tolerated: number,
+): boolean {
+  return mostLoaded.load <= mean * tolerated && leastLoaded.load >= mean / tolerated;
 }
 
-/** The shard whose move narrows the gap best; it must weigh less than the gap. */
-function bestToMove(
-  most: BackendLoad,
-  least: BackendLoad,
+/** Finds the shard whose move narrows the gap most; its load must be less than the gap. */
+function bestShardToMove(
+  mostLoaded: BackendLoad,
+  leastLoaded: BackendLoad,
   input: PlacementInput,
   chooser: Chooser,
   rows: ReadonlyMap<number, ShardRow>,
 ): ShardRow | null {
-  const gap = most.load - least.load;
+  const gap = mostLoaded.load - leastLoaded.load;
   let best: ShardRow | null = null;
   let bestDistance = Infinity;
-  for (const shard of most.settled) {
+  for (const shard of mostLoaded.stationary) {
     const load = input.loadOf(shard);
     if (load <= 0 || load >= gap) continue;
     const distance = Math.abs(gap / 2 - load);
     const row = rows.get(shard);
-    if (distance >= bestDistance || row === undefined || !chooser.mayBalance(row, load, least)) continue;
+    if (distance >= bestDistance || row === undefined || !chooser.mayBalance(row, load, leastLoaded))
+      continue;
     best = row;
     bestDistance = distance;
   }
@@ -158,7 +166,7 @@
 function moveShard(shard: number, from: BackendLoad, to: BackendLoad, load: number): void {
   from.load -= load;
   to.load += load;
-  from.settled.splice(from.settled.indexOf(shard), 1);
+  from.stationary.splice(from.stationary.indexOf(shard), 1);
 }
 
 function compareNames(left: BackendLoad, right: BackendLoad): number {
--- a/src/placement/policy-chooser.ts
+++ b/src/placement/policy-chooser.ts
@@ -1,13 +1,13 @@
 /**
- * Chooses back ends by a policy. A policy never takes a service down: where it fails, or leaves no back end for a
- * shard without owner, load alone decides for that shard, and the problem is shown.
+ * Chooses back ends by a placement policy. A policy never makes a service unavailable: if it fails, or excludes every
+ * back end for an unowned shard, that shard is placed by load alone and the problem is reported.
  */
 import type { ShardRow } from '../model/shard.js';
 import { PolicyBackend, PolicyShard, type Policy, type PolicyError } from '../policy/policy.js';
 import type { BackendLoad, BackendLoads } from './backend-loads.js';
 import type { Chooser, PlacementInput } from './planner.js';
 
-/** Evaluations in one plan; the next plan goes on, so that the leader is not held up. */
+/** Maximum number of evaluations in one plan; the next plan continues, so that the leader is not blocked for long. */
 const MAX_EVALUATIONS = 50_000;
 
 interface Candidate {
@@ -15,7 +15,7 @@
   readonly rank: number;
 }
 
-/** A chooser for one plan. */
+/** Policy-based chooser for one plan. */
 export class PolicyChooser implements Chooser {
   problem: string | null = null;
   private evaluations = 0;
@@ -29,22 +29,22 @@
     this.zones = new Map(input.backends.map(({ name, zone }) => [name, zone]));
   }
 
-  /** See `Chooser`. */
+  /** Implements `Chooser.choose`. */
   choose(row: ShardRow, load: number): string | null {
     if (this.evaluations >= MAX_EVALUATIONS) return null;
     const candidates = this.candidatesFor(row, load);
     if (candidates.length === 0) {
       this.problem ??= `eligible: no back end may hold shard ${row.shard}`;
-      return this.loads.addToLeast(load);
+      return this.loads.addToLeastLoaded(load);
     }
     const limit = this.loads.mean * this.input.toleratedImbalance;
-    const withRoom = candidates.filter(({ backend }) => backend.load + load <= limit);
-    const chosen = withRoom.length > 0 ? bestRanked(withRoom) : leastLoaded(candidates);
+    const withCapacity = candidates.filter(({ backend }) => backend.load + load <= limit);
+    const chosen = withCapacity.length > 0 ? bestRanked(withCapacity) : leastLoaded(candidates);
     this.loads.add(chosen.backend, load);
     return chosen.backend.name;
   }
 
-  /** See `Chooser`. */
+  /** Implements `Chooser.mayBalance`. */
   mayBalance(row: ShardRow, load: number, target: BackendLoad): boolean {
     if (this.evaluations >= MAX_EVALUATIONS) return false;
     const shard = this.describeShard(row, load);
--- a/src/policy-switches.ts
+++ b/src/policy-switches.ts
@@ -1,57 +1,57 @@
 /**
- * The mechanisms that decide, each behind a switch. A trial bundle may be built without some of them, to measure what
- * each is worth (`deploy/build.mjs --without NAME,...`); a bundle that is shipped has all of them.
+ * Switches for the routing and placement policies. A trial bundle can be built without some of them to measure the
+ * effect of each (`deploy/build.mjs --without NAME,...`); shipped bundles contain all of them.
  */
 
-/** The switches, by mechanism. */
+/** Names of the policies that can be disabled. */
 export type PolicySwitch =
-  /** Requests that will be late wait up to their deadline while such waiting brings answers. */
+  /** Requests expected to miss their target latency wait up to their deadline, while such waits lead to answers. */
   | 'late-waiting'
-  /** Requests that will be late start only while some places stay free for those that can be in time. */
+  /** Requests expected to miss their target latency start only while slots stay free for those that can meet it. */
   | 'late-reserve'
-  /** A caller that came back waits up to its deadline for keys that are on their way. */
+  /** A retried request waits up to its deadline for keys that are being moved. */
   | 'key-patience'
-  /** Refusals tell when to come back by what is in the way. */
+  /** Refusals carry a retry delay that depends on their cause. */
   | 'retry-hints'
-  /** A back end of the same zone is preferred while it has room. */
+  /** Back ends of the same zone are preferred while they have capacity. */
   | 'zone-preference'
-  /** Load of keys counts when it is asked for, not when it has been served. */
+  /** The load of keys is counted when requests arrive, not when they have been served. */
   | 'offered-load'
-  /** Load is reported and planned sooner while requests wait. */
+  /** Load is reported and planned at shorter intervals while requests wait. */
   | 'quick-balance'
-  /** Keys that were moved for balance stay where they are for some time. */
+  /** Keys moved for balance are not moved for balance again for some time. */
   | 'move-rest'
-  /** Short work gets the next place, whatever its rank. */
+  /** Short requests get the next free slot, regardless of priority. */
   | 'short-work-first'
-  /** Answers of a few KB wait for a slow network link in turn, as large ones do. */
+  /** Answers of a few KB are queued for a slow network link, like large ones. */
   | 'small-answers-paced'
-  /** A few back ends are asked how busy they are before one is chosen; without it only answers tell. */
+  /** A few back ends are probed for their load before one is chosen; without it, load is known only from answers. */
   | 'probed-choice'
-  /** What answers have told lately is used before anyone is asked, and a request waits for probes once at most. */
+  /** Recent load figures from answers are used before back ends are probed, and a request waits for probes at most once. */
   | 'known-first'
-  /** A request that several daemons refused as busy is not taken to further ones. */
+  /** A request that several daemons refused as overloaded is not sent to further ones. */
   | 'bounded-refusals'
-  /** Long work leaves some places free for short work. */
+  /** Long requests leave some slots free for short ones. */
   | 'short-work-reserve'
-  /** A replica that has heard no leader since its start stands for election after a heartbeat, not a whole timeout. */
+  /** A replica without contact to a leader since its start becomes a candidate after one heartbeat, not a full timeout. */
   | 'early-election'
-  /** Everything that a daemon sends over a slow network link counts against the link, with what the network adds. */
+  /** All bytes that a daemon sends over a slow network link count against its bandwidth, including network overhead. */
   | 'link-accounting'
-  /** What back ends tell of how long work takes there at this moment, and the time that each route takes, are used. */
+  /** Service time estimates use the current pace reported by back ends and the time taken by each route. */
   | 'told-pace'
-  /** A large answer is accepted only if it would be in time also behind a longer queue for the link than is foretold. */
+  /** A large answer is accepted only if it would be in time even if the link's queue were longer than forecast. */
   | 'link-margin'
-  /** Large frames share a slow network link slice by slice, the one with least left first. */
+  /** Large frames share a slow network link in slices, the one with the fewest bytes left first. */
   | 'link-slices'
-  /** Large answers that are still being worked on count as waiting for a slow network link. */
+  /** Large answers that are still being computed count as queued for a slow network link. */
   | 'expected-answers';
 
-/** Names of the mechanisms that this bundle was built without, separated by commas; set by the bundler. */
+/** Comma-separated names of the policies that this bundle was built without; set by the bundler. */
 declare const ALDERTIDE_WITHOUT: string | undefined;
 
-const left = new Set(typeof ALDERTIDE_WITHOUT === 'string' ? ALDERTIDE_WITHOUT.split(',') : []);
+const excluded = new Set(typeof ALDERTIDE_WITHOUT === 'string' ? ALDERTIDE_WITHOUT.split(',') : []);
 
-/** Whether a mechanism takes part in decisions. */
+/** Whether a policy is part of this build. */
 export function policyIsOn(name: PolicySwitch): boolean {
-  return !left.has(name);
+  return !excluded.has(name);
 }
--- a/src/policy/policy-check.ts
+++ b/src/policy/policy-check.ts
@@ -1,7 +1,7 @@
-/** Checks a policy as it stands in a configuration: its expressions compile, and its example cases come out. */
+/** Validates a configured policy: its expressions must compile and its example cases must give the expected results. */
 import { compilePolicy, PolicyBackend, PolicyShard, type Policy, type PolicySource } from './policy.js';
 
-/** A case of a policy: inputs, and what the expressions must give. */
+/** An example case of a policy: inputs and the expected results of the expressions. */
 export interface PolicyExample {
   readonly backend: {
     readonly name: string;
@@ -20,20 +20,20 @@
   readonly movable?: boolean | undefined;
 }
 
-/** A policy with its cases. */
+/** A policy with its example cases. */
 export interface CheckedPolicy extends PolicySource {
   readonly expect: readonly PolicyExample[];
 }
 
-/** What is wrong, and where in the policy. */
+/** A problem and its path within the policy. */
 export interface PolicyProblem {
   readonly path: (string | number)[];
   readonly message: string;
 }
 
-const OUTCOMES = ['eligible', 'rank', 'movable'] as const;
+const EXPRESSIONS = ['eligible', 'rank', 'movable'] as const;
 
-/** All problems of a policy. */
+/** Returns all problems of a policy. */
 export function checkPolicy(policy: CheckedPolicy): PolicyProblem[] {
   const compiled = compilePolicy(policy);
   if (compiled.err)
@@ -46,12 +46,14 @@
   const backend = new PolicyBackend(name, zone, shards, load);
   const { number, load: shardLoad, owner, ownerZone } = example.shard;
   const shard = new PolicyShard(number, shardLoad, owner, ownerZone);
-  return OUTCOMES.flatMap((outcome) => {
-    const expected = example[outcome];
+  return EXPRESSIONS.flatMap((expression) => {
+    const expected = example[expression];
     if (expected === undefined) return [];
-    const given = policy[outcome](backend, shard);
-    if (given.ok && given.val === expected) return [];
-    const found = given.ok ? String(given.val) : given.val.detail;
-    return [{ path: ['expect', at, outcome], message: `the policy gives ${found}; ${expected} is expected` }];
+    const result = policy[expression](backend, shard);
+    if (result.ok && result.val === expected) return [];
+    const actual = result.ok ? String(result.val) : result.val.detail;
+    return [
+      { path: ['expect', at, expression], message: `the policy gives ${actual}; ${expected} is expected` },
+    ];
   });
 }
--- a/src/policy/policy-table.ts
+++ b/src/policy/policy-table.ts
@@ -1,4 +1,4 @@
-/** Policies in force, compiled once for each configuration of a service. */
+/** Caches compiled policies: each is compiled once per configuration of a service. */
 import type { ServiceConfiguration } from '../config/configuration.js';
 import { compilePolicy, type Policy } from './policy.js';
 
@@ -7,11 +7,11 @@
   readonly policy: Policy | null;
 }
 
-/** Compiled policies by service. */
+/** Cache of compiled policies by service name. */
 export class PolicyTable {
   private readonly compiled = new Map<string, CompiledPolicy>();
 
-  /** The policy of a service, or null when it has none. One that no longer compiles counts as none. */
+  /** Returns the policy of a service; null when it has none or when its policy no longer compiles. */
   policyOf(name: string, service: ServiceConfiguration): Policy | null {
     const known = this.compiled.get(name);
     if (known?.service === service) return known.policy;
--- a/src/policy/policy.ts
+++ b/src/policy/policy.ts
@@ -1,50 +1,50 @@
 /**
- * Placement policies: short expressions in CEL (https://cel.dev) that say which back ends may hold a shard, how
- * they rank, and which shards may be moved for balance. Expressions are typed, cannot loop, and are compiled once.
+ * Placement policies: short CEL expressions (https://cel.dev) that define which back ends may own a shard, how they
+ * rank, and which shards may be moved for balance. Expressions are typed, cannot loop, and are compiled once.
  */
 import { Environment } from '@marcbachmann/cel-js';
 import { Err, Ok, type Result } from '../result.js';
 
-/** Largest expression, in nodes of its syntax tree; with it the cost of an evaluation is bounded. */
-const MAX_NODES = 200;
+/** Maximum number of syntax tree nodes in an expression; bounds the cost of an evaluation. */
+const MAX_AST_NODES = 200;
 const MAX_DEPTH = 30;
 
-/** A back end as a policy sees it. */
+/** A back end as exposed to policy expressions. */
 export class PolicyBackend {
   constructor(
     readonly name: string,
     readonly zone: string,
-    /** Shards that it holds. */
+    /** Number of shards that it owns. */
     readonly shards: number,
-    /** Load that it has, in requests a second. */
+    /** Load in requests per second. */
     readonly load: number,
   ) {}
 }
 
-/** A shard as a policy sees it. */
+/** A shard as exposed to policy expressions. */
 export class PolicyShard {
   constructor(
     readonly number: number,
-    /** In requests a second. */
+    /** Load in requests per second. */
     readonly load: number,
-    /** Back end that holds it; empty when none does. */
+    /** Name of the owning back end; empty when unowned. */
     readonly owner: string,
-    /** Zone of that back end; empty when none does. */
+    /** Zone of the owning back end; empty when unowned. */
     readonly ownerZone: string,
   ) {}
 }
 
-/** Expressions of a policy, as operators write them. */
+/** Source text of a policy's expressions. */
 export interface PolicySource {
-  /** Whether `backend` may hold `shard`. */
+  /** Whether `backend` may own `shard`. */
   readonly eligible?: string | undefined;
-  /** How well `backend` suits `shard`; the highest wins among those that have room. */
+  /** Rank of `backend` for `shard`; the highest rank wins among back ends with capacity. */
   readonly rank?: string | undefined;
   /** Whether `shard` may be moved for balance. */
   readonly movable?: string | undefined;
 }
 
-/** An expression that failed or gave something else than it should. */
+/** An expression that failed or returned a value of the wrong type. */
 export interface PolicyError {
   readonly expression: keyof PolicySource;
   readonly detail: string;
@@ -59,7 +59,7 @@
   readonly movable: Evaluate<boolean>;
 }
 
-const limits = { maxAstNodes: MAX_NODES, maxDepth: MAX_DEPTH };
+const limits = { maxAstNodes: MAX_AST_NODES, maxDepth: MAX_DEPTH };
 
 const shardOnly = new Environment({ limits })
   .registerType('Shard', {
@@ -76,7 +76,7 @@
   })
   .registerVariable('backend', 'Backend');
 
-/** Compiles a policy; all expressions that do not compile are reported together. */
+/** Compiles a policy; errors of all expressions are reported together. */
 export function compilePolicy(source: PolicySource): Result<Policy, PolicyError[]> {
   const eligible = compile('eligible', source.eligible, backendAndShard, 'bool', true);
   const rank = compile('rank', source.rank, backendAndShard, 'double', 0);
@@ -92,18 +92,20 @@
   text: string | undefined,
   environment: Environment,
   type: 'bool' | 'double',
-  otherwise: T,
+  defaultValue: T,
 ): Result<Evaluate<T>, PolicyError> {
-  if (text === undefined) return Ok(() => Ok(otherwise));
+  if (text === undefined) return Ok(() => Ok(defaultValue));
   try {
     const checked = environment.check(text);
-    if (!checked.valid) return Err({ expression, detail: describe(checked.error) });
+    if (!checked.valid) return Err({ expression, detail: firstLineOf(checked.error) });
     if (checked.type !== type)
       return Err({ expression, detail: `gives ${checked.type ?? '?'}, not ${type}` });
     const program = environment.parse(text);
-    return Ok((backend, shard) => evaluate(expression, () => program({ backend, shard }), typeof otherwise));
+    return Ok((backend, shard) =>
+      evaluate(expression, () => program({ backend, shard }), typeof defaultValue),
+    );
   } catch (error) {
-    return Err({ expression, detail: describe(error) });
+    return Err({ expression, detail: firstLineOf(error) });
   }
 }
 
@@ -117,11 +119,11 @@
     if (typeof value !== type) return Err({ expression, detail: `gave a ${typeof value}` });
     return Ok(value as T);
   } catch (error) {
-    return Err({ expression, detail: describe(error) });
+    return Err({ expression, detail: firstLineOf(error) });
   }
 }
 
-function describe(error: unknown): string {
+function firstLineOf(error: unknown): string {
   const text = error instanceof Error ? error.message : String(error);
   return text.split('\n')[0] ?? text;
 }
--- a/test/directory/change-feed.test.ts
+++ b/test/directory/change-feed.test.ts
@@ -11,13 +11,13 @@
 import type { DirectoryNotice } from '../../src/directory/directory-messages.js';
 import { decodeFrame } from '../../src/transport/frame-codec.js';
 
-/** A daemon that joins a feed: the frames that it got, and the table that it made of them. */
-class Joiner implements Connection {
+/** A daemon that joins a feed, with the frames that it received and the table built from them. */
+class JoiningDaemon implements Connection {
   readonly frames: Buffer[] = [];
   readonly table = new DirectoryTable();
 
   send(): void {
-    throw new Error('a feed sends frames');
+    throw new Error('a feed sends only encoded frames');
   }
 
   sendEncoded(frame: Buffer): void {
@@ -33,8 +33,8 @@
 }
 
 function instanceAt(at: number): BackendInstance {
-  const place = { service: 's', zone: 'z', daemonAddress: `d-${at}`, slots: 1 };
-  return { id: `i-${at}`, condition: 'ready', version: 'v1', session: at, ...place };
+  const registration = { service: 's', zone: 'z', daemonAddress: `d-${at}`, slots: 1 };
+  return { id: `i-${at}`, condition: 'ready', version: 'v1', session: at, ...registration };
 }
 
 class Replica {
@@ -53,14 +53,14 @@
     this.feed.publish(this.index, [change]);
   }
 
-  join(): Joiner {
-    const joiner = new Joiner();
+  join(): JoiningDaemon {
+    const joiner = new JoiningDaemon();
     this.feed.add(joiner, 0, this.state, this.index);
     return joiner;
   }
 }
 
-test('daemons that join while others register share one table, and each holds all of it', (t) => {
+test('daemons that join while others register share one encoded table, and each ends up with the full state', (t) => {
   const replica = new Replica();
   replica.register(1);
   const tables = new Set<Buffer | undefined>();
@@ -74,7 +74,7 @@
   t.is(tables.size, 1);
 });
 
-test('a table that many changes have followed is encoded anew', (t) => {
+test('a table is encoded again after many changes', (t) => {
   const replica = new Replica();
   replica.register(1);
   const first = replica.join();
@@ -84,7 +84,7 @@
   t.is([...later.table.instances()].length, 199);
 });
 
-test('what an operator ordered stands in the table of a daemon that joins later', (t) => {
+test('an operator change is included in the table of a daemon that joins later', (t) => {
   const replica = new Replica();
   replica.register(1);
   replica.join();
--- a/test/directory/directory-machine.test.ts
+++ b/test/directory/directory-machine.test.ts
@@ -1,4 +1,4 @@
-/** Commands of a directory as tables of cases. */
+/** Tests of the commands of the directory's state machine. */
 import test from 'ava';
 import type { DirectoryCommand, RegisterCommand } from '../../src/directory/directory-commands.js';
 import { applyDirectoryCommand } from '../../src/directory/directory-machine.js';
@@ -51,7 +51,7 @@
   return { kind: 'register', instance };
 }
 
-class World {
+class TestDirectory {
   readonly state: DirectoryState = emptyDirectoryState();
   private index = 0;
 
@@ -69,8 +69,8 @@
   }
 }
 
-function worldWithOwners(): World {
-  const world = new World();
+function directoryWithOwners(): TestDirectory {
+  const world = new TestDirectory();
   world.apply({ kind: 'configure-items', items: [service(SERVICE)] });
   world.apply(register('one', 'h1:1'));
   world.apply(register('two', 'h2:1'));
@@ -82,12 +82,12 @@
   return world;
 }
 
-test('of two versions of an item the higher one stands, in whatever order they come', (t) => {
+test('the higher of two versions of an item wins, regardless of their order', (t) => {
   for (const versions of [
     [3, 7],
     [7, 3],
   ]) {
-    const world = new World();
+    const world = new TestDirectory();
     world.apply({ kind: 'configure-items', items: [service(SERVICE)] });
     for (const version of versions) {
       const items = [route('r', version, SERVICE)];
@@ -97,8 +97,8 @@
   }
 });
 
-test('a dropped item does not return under an older version', (t) => {
-  const world = new World();
+test('an older version does not restore a dropped item', (t) => {
+  const world = new TestDirectory();
   world.apply({ kind: 'configure-items', items: [service(SERVICE), route('r', 3, SERVICE)] });
   const dropped: ConfigurationItem = { kind: 'route', name: 'r', version: 9, definition: null, source: null };
   world.apply({ kind: 'configure-items', items: [dropped] });
@@ -106,15 +106,15 @@
   t.is(world.state.items.get(itemKey('route', 'r'))?.definition, null);
 });
 
-test('under the version that stands, other content changes nothing', (t) => {
-  const world = new World();
+test('different content under the current version of an item is ignored', (t) => {
+  const world = new TestDirectory();
   world.apply({ kind: 'configure-items', items: [service(SERVICE), route('r', 3, SERVICE)] });
   world.apply({ kind: 'configure-items', items: [{ ...route('r', 3, SERVICE), source: 'other' }] });
   t.is(world.state.items.get(itemKey('route', 'r'))?.source, 'route r 3');
 });
 
-test('a route to an unknown service is refused as a whole', (t) => {
-  const world = new World();
+test('a change with a route to an unknown service is rejected as a whole', (t) => {
+  const world = new TestDirectory();
   const items = [service(SERVICE), route('good', 1, SERVICE), route('bad', 1, 'nowhere')];
   t.is(world.apply({ kind: 'configure-items', items }).kind, 'invalid');
   t.is(world.state.items.size, 0);
@@ -122,21 +122,21 @@
 
 const REVISION = { kind: 'configure-revision', replacesAll: false } as const;
 
-test('whole revisions: one of two on the same base wins, a resend gets its first answer, an old version is refused', (t) => {
-  const world = new World();
+test('whole revisions: one of two on the same base wins, a resend gets the first answer, an old version is rejected', (t) => {
+  const world = new TestDirectory();
   const first = { ...REVISION, base: 0, version: 5, digest: 'a', items: [service(SERVICE, 5)] };
   const rival = { ...REVISION, base: 0, version: 5, digest: 'b', items: [service('other', 5)] };
   t.is(world.apply(first).kind, 'done');
   t.deepEqual(world.apply(rival), { kind: 'conflict', present: 5 });
   t.is(world.apply({ ...REVISION, base: 5, version: 9, digest: 'c', items: [] }).kind, 'done');
-  t.is(world.apply(first).kind, 'done', 'sent again, after another change');
+  t.is(world.apply(first).kind, 'done', 'a resend after another change');
   t.is(world.state.revision, 9);
   t.is(world.apply({ ...REVISION, base: 9, version: 9, digest: 'd', items: [] }).kind, 'invalid');
   t.false(world.state.items.has(itemKey('service', 'other')));
 });
 
-test('putting the whole drops what it does not name', (t) => {
-  const world = new World();
+test('a revision that replaces the whole configuration drops the items that it does not name', (t) => {
+  const world = new TestDirectory();
   const items = [service(SERVICE, 1), route('r', 1, SERVICE)];
   world.apply({ ...REVISION, base: 0, version: 1, digest: 'a', items });
   const put = {
@@ -151,8 +151,8 @@
   t.is(world.state.items.get(itemKey('route', 'r'))?.definition, null);
 });
 
-test('registering again gets the same session; a new life at the same daemon ends the earlier one', (t) => {
-  const world = worldWithOwners();
+test('a repeated registration gets the same session; a new incarnation at the same daemon ends the earlier one', (t) => {
+  const world = directoryWithOwners();
   const { session } = world.state.instances.get('one') ?? {};
   const again = world.apply(register('one', 'h1:1'));
   t.deepEqual(again, { kind: 'registered', session: session ?? -1 });
@@ -163,8 +163,8 @@
   t.is(world.ownerOf(40_000), 'two');
 });
 
-test('a registration that does not know of the life at its daemon ends it not', (t) => {
-  const world = worldWithOwners();
+test('a registration that does not name the incarnation at its daemon does not end it', (t) => {
+  const world = directoryWithOwners();
   for (const replaces of [null, 'one-before']) {
     const outcome = world.apply({ ...register('one-anew', 'h1:1'), replaces });
     t.is(outcome.kind, 'invalid');
@@ -175,8 +175,8 @@
   t.false(world.state.instances.has('one'));
 });
 
-test('a move changes the owner only once the range was released, and the fence rises', (t) => {
-  const world = worldWithOwners();
+test('a move changes the owner only after the range was released, and raises the fence', (t) => {
+  const world = directoryWithOwners();
   const fence = world.fenceOf(100);
   const moves = [{ from: 100, to: 199, target: 'two' }];
   world.apply({ kind: 'begin-range-moves', service: SERVICE, moves });
@@ -191,8 +191,8 @@
   t.is(world.ownerOf(200), 'one');
 });
 
-test('the fence of a range can be raised where it is, by its owner only', (t) => {
-  const world = worldWithOwners();
+test('only the owner of a range can raise its fence without a move', (t) => {
+  const world = directoryWithOwners();
   const fence = world.fenceOf(100);
   const span = { kind: 'raise-fence', service: SERVICE, from: 100, to: 199 } as const;
   world.apply({ ...span, owner: 'two', fence });
@@ -203,8 +203,8 @@
   t.is(world.ownerOf(150), 'one');
 });
 
-test('when the target of a move is gone its range stays with the owner, or waits for a new one', (t) => {
-  const world = worldWithOwners();
+test('when the target of a move ends, the range stays with its owner, and the ranges of the target become unowned', (t) => {
+  const world = directoryWithOwners();
   const moves = [{ from: 0, to: 99, target: 'two' }];
   world.apply({ kind: 'begin-range-moves', service: SERVICE, moves });
   const session = world.state.instances.get('two')?.session ?? 0;
@@ -213,15 +213,15 @@
   t.is(world.ownerOf(40_000), null);
 });
 
-test('a move that is called off ends its fence, so that a late word on it names none that stands', (t) => {
-  const world = worldWithOwners();
+test('a cancelled move raises the fence, so that a late release report names an outdated fence', (t) => {
+  const world = directoryWithOwners();
   const moves = [{ from: 0, to: 99, target: 'two' }];
   const before = world.fenceOf(50);
   world.apply({ kind: 'begin-range-moves', service: SERVICE, moves });
   const session = world.state.instances.get('two')?.session ?? 0;
   world.apply({ kind: 'unregister', sessions: [{ id: 'two', session }] });
   t.true(world.fenceOf(50) > before);
-  t.is(world.fenceOf(100), before, 'what did not move keeps its fence');
+  t.is(world.fenceOf(100), before, 'keys that were not moving keep their fence');
   world.apply(register('three', 'h3:1'));
   world.apply({ kind: 'begin-range-moves', service: SERVICE, moves: [{ from: 0, to: 99, target: 'three' }] });
   const late = { from: 0, to: 99, owner: 'one', fence: before, handover: 'h' };
@@ -229,8 +229,8 @@
   t.is(world.ownerOf(50), 'one');
 });
 
-test('a change of the way of granting raises the fences of what is owned', (t) => {
-  const world = worldWithOwners();
+test('a change of grant mode raises the fences of owned ranges', (t) => {
+  const world = directoryWithOwners();
   const fence = world.fenceOf(50);
   const before = world.state.items.get(itemKey('service', SERVICE));
   if (before?.kind !== 'service' || before.definition === null) throw new Error('invariant broken');
@@ -243,17 +243,17 @@
   const raised = world.fenceOf(50);
   t.true(raised > fence);
   change(before.version + 2);
-  t.is(world.fenceOf(50), raised, 'the same way once more changes nothing');
+  t.is(world.fenceOf(50), raised, 'the same grant mode again changes nothing');
 });
 
-test('a registration that was ended under another session stays', (t) => {
-  const world = worldWithOwners();
+test('ending another session does not end a registration', (t) => {
+  const world = directoryWithOwners();
   world.apply({ kind: 'unregister', sessions: [{ id: 'one', session: 999 }] });
   t.is(world.ownerOf(5), 'one');
 });
 
-test('an evacuation stands until it ends, also in a snapshot; asking again changes nothing', (t) => {
-  const world = new World();
+test('an evacuation lasts until it is ended and is kept in snapshots; repeating it changes nothing', (t) => {
+  const world = new TestDirectory();
   const begin: DirectoryCommand = { kind: 'set-evacuation', zone: 'z', evacuated: true };
   t.deepEqual(world.apply(begin), { kind: 'done' });
   t.deepEqual(world.apply(begin), { kind: 'done' });
@@ -263,5 +263,5 @@
   t.is(world.state.evacuatedZones.size, 0);
   const { evacuatedZones, ...older } = encodeDirectory(world.state);
   t.deepEqual(evacuatedZones, []);
-  t.is(decodeDirectory(older).evacuatedZones.size, 0, 'a snapshot of a version without evacuations');
+  t.is(decodeDirectory(older).evacuatedZones.size, 0, 'a snapshot written by a version without evacuations');
 });
--- a/test/directory/directory-membership.test.ts
+++ b/test/directory/directory-membership.test.ts
@@ -1,4 +1,4 @@
-/** Who becomes and stays a member of a directory. */
+/** Tests of membership changes of a directory's replicas. */
 import test from 'ava';
 import {
   nextDirectoryMembership,
@@ -18,7 +18,7 @@
   };
 }
 
-test('a newcomer becomes a learner, and a voter while there are places', (t) => {
+test('a joining replica becomes a learner, and then a voter while the maximum is not reached', (t) => {
   const joined = nextDirectoryMembership(view({ candidates: ['d:1/x'] }));
   t.deepEqual(joined?.learners, ['d:1/x']);
   const membership = { voters: ['a:1/x', 'b:1/x'], learners: ['d:1/x'] };
@@ -26,17 +26,17 @@
   t.deepEqual(voter?.voters, ['a:1/x', 'b:1/x', 'd:1/x']);
 });
 
-test('a lost voter gives way only to a replica that holds the log', (t) => {
+test('a lost voter is replaced only by a replica that holds the log', (t) => {
   const membership = { voters: ['a:1/x', 'b:1/x', 'c:1/x'], learners: ['d:1/x'] };
   const isLost = (id: string): boolean => id === 'b:1/x';
   const ready = nextDirectoryMembership(view({ membership, candidates: ['d:1/x'], isLost }));
   t.deepEqual(ready?.voters, ['a:1/x', 'c:1/x']);
   const behind = view({ membership, candidates: ['d:1/x'], isLost, matchIndexOf: () => 1 });
   t.is(nextDirectoryMembership(behind), null);
-  t.is(nextDirectoryMembership(view({ isLost })), null, 'nobody stands ready');
+  t.is(nextDirectoryMembership(view({ isLost })), null, 'no replica is ready');
 });
 
-test('a replica whose disk was lost replaces its earlier self', (t) => {
+test('a replica that lost its disk replaces its previous identity', (t) => {
   const isActive = (id: string): boolean => id !== 'b:1/x';
   const removed = nextDirectoryMembership(view({ candidates: ['b:1/y'], isActive, maxVoters: 5 }));
   t.deepEqual(removed?.voters, ['a:1/x', 'c:1/x']);
--- a/test/directory/directory-world.test.ts
+++ b/test/directory/directory-world.test.ts
@@ -1,11 +1,11 @@
-/** A directory under faults, on virtual time. */
+/** Simulation tests of a directory under faults, in virtual time. */
 import test from 'ava';
 import { BUSY_SIZE, DirectoryWorld, runDirectory } from '../../lab/sim/directory-world.js';
 import { DEFAULT_DIRECTORY_TIMING } from '../../src/directory/directory-settings.js';
 
 const SEEDS = Array.from({ length: 12 }, (_, at) => at + 1);
 
-test('replicas form from their seeds, and acknowledge nothing before losses that are tolerated cannot take it', async (t) => {
+test('replicas form from their seeds and acknowledge changes only when they survive the tolerated losses', async (t) => {
   const world = new DirectoryWorld(1);
   await world.start();
   for (let atMs = 100; atMs <= 4_000; atMs += 100) {
@@ -20,7 +20,7 @@
 });
 
 for (const seed of SEEDS) {
-  test(`crashes, lost disks, freezes and cuts: seed ${seed}`, async (t) => {
+  test(`crashes, lost disks, freezes and partitions: seed ${seed}`, async (t) => {
     const { violations, acknowledged } = await runDirectory(seed);
     t.deepEqual(violations, []);
     t.true(acknowledged > 0);
@@ -28,14 +28,14 @@
 }
 
 for (const seed of SEEDS.slice(0, 4)) {
-  test(`crashes, lost disks, freezes and cuts among eleven replicas short of processor time: seed ${seed}`, async (t) => {
+  test(`crashes, lost disks, freezes and partitions among eleven replicas with scarce CPU time: seed ${seed}`, async (t) => {
     const { violations, acknowledged } = await runDirectory(seed, BUSY_SIZE);
     t.deepEqual(violations, []);
     t.true(acknowledged > 0);
   });
 }
 
-/** Time in ms from a restart of all replicas at once until one leads. */
+/** Returns the time in ms from a simultaneous restart of all replicas until one leads. */
 async function leaderlessMs(seed: number): Promise<number> {
   const readyMs = 6_000;
   const downMs = 500;
@@ -50,7 +50,7 @@
   return Infinity;
 }
 
-test('after all replicas lost power one leads again within half an election timeout, on average', async (t) => {
+test('after a crash of all replicas, a leader is elected within half an election timeout on average', async (t) => {
   let sumMs = 0;
   for (const seed of SEEDS) sumMs += await leaderlessMs(seed);
   const meanMs = sumMs / SEEDS.length;
--- a/test/directory/fresh-watchers.test.ts
+++ b/test/directory/fresh-watchers.test.ts
@@ -1,7 +1,7 @@
 /**
- * After all replicas were killed at once, the first leader has a log but does not know yet what of it is committed: until an
- * entry of its own term is, its state is that of its last snapshot. Daemons that started at that moment were given that
- * state as the present table, and one of them granted keys under a fence (19) that had long been followed by others (89).
+ * After a crash of all replicas, a new leader does not know which entries of its log are committed until an entry of its
+ * own term is; until then, its state is that of its last snapshot. Guards against sending this old state to daemons that
+ * start at that moment: one of them granted keys under fence 19 although later fences, up to 89, had been issued.
  */
 import test from 'ava';
 import { DirectoryWorld } from '../../lab/sim/directory-world.js';
@@ -18,7 +18,7 @@
 const FRESH_WATCHERS = 6;
 const SEEDS = Array.from({ length: 12 }, (_, at) => at + 1);
 
-/** The first table that a daemon gets which starts now. */
+/** Starts a daemon and records the index of the first table that it receives. */
 function firstTable(world: DirectoryWorld, name: string): { index: number | null } {
   const { directory } = world;
   const process = directory.makeProcess(name);
@@ -37,7 +37,7 @@
   return first;
 }
 
-test('no daemon that starts while a leader is new is given an older table than what was acknowledged', async (t) => {
+test('a daemon that starts right after an election never receives a table older than the acknowledged changes', async (t) => {
   for (const seed of SEEDS) {
     const world = new DirectoryWorld(seed);
     await world.start();
@@ -49,7 +49,7 @@
     }
     const lossMs = READY_MS + CHANGES * CHANGE_EVERY_MS + 500;
     await world.runUntil(lossMs);
-    t.is(world.acknowledged.size, CHANGES, `seed ${seed}: all is acknowledged before the loss`);
+    t.is(world.acknowledged.size, CHANGES, `seed ${seed}: all changes are acknowledged before the crash`);
     const committed = Math.max(...world.replicas.map(({ node }) => node?.consensus?.core.commitIndex ?? 0));
     for (const replica of world.replicas) world.strike('crash', replica, DOWN_MS);
     const firsts = Array.from({ length: FRESH_WATCHERS }, (_, at) => firstTable(world, `fresh-${at}`));
@@ -57,7 +57,7 @@
     for (const { index } of firsts) {
       t.true(
         (index ?? 0) >= committed,
-        `seed ${seed}: the first table is of ${index}, ${committed} was committed`,
+        `seed ${seed}: the first table has index ${index}, committed was ${committed}`,
       );
     }
   }
--- a/test/directory/operator-changes.test.ts
+++ b/test/directory/operator-changes.test.ts
@@ -21,7 +21,7 @@
   return { time, submitted, proposals, changes: new OperatorChanges(time.runtime, proposals) };
 }
 
-test('a change that is sent again while it is under way enters the log once, and each call gets its outcome', async (t) => {
+test('a change that is resent while in flight is proposed once, and each call gets its outcome', async (t) => {
   const { submitted, proposals, changes } = setUp();
   const calls = [changes.propose(CHANGE), changes.propose(CHANGE)];
   t.is(submitted.length, 1);
@@ -31,7 +31,7 @@
   t.is(submitted.length, 2);
 });
 
-test('a call is answered in time while its change is under way, and a later one still joins that', async (t) => {
+test('a call is answered in time while its change is in flight, and a later call still joins the change', async (t) => {
   const { time, submitted, proposals, changes } = setUp();
   const first = changes.propose(CHANGE);
   time.pass(ANSWER_MS);
@@ -42,7 +42,7 @@
   t.true((await second).ok);
 });
 
-test('a change whose leader lost its office enters the log anew', async (t) => {
+test('a change whose leader lost leadership is proposed again', async (t) => {
   const { submitted, proposals, changes } = setUp();
   const first = changes.propose(CHANGE);
   proposals.abandonAll();
@@ -51,7 +51,7 @@
   t.is(submitted.length, 2);
 });
 
-test('changes without a digest are never taken for each other', (t) => {
+test('changes without a digest are never merged', (t) => {
   const { submitted, changes } = setUp();
   const begin: DirectoryCommand = { kind: 'set-evacuation', zone: 'z', evacuated: true };
   void changes.propose(begin);
--- a/test/directory/range-planner.test.ts
+++ b/test/directory/range-planner.test.ts
@@ -1,4 +1,4 @@
-/** Plans for ranges of keys. */
+/** Tests of the range planner. */
 import test from 'ava';
 import { KeyLoad, bucketOf } from '../../src/directory/key-load.js';
 import { unownedRanges } from '../../src/directory/key-ranges.js';
@@ -30,7 +30,7 @@
     mayBalance: true,
     movesAreCostly: false,
     evacuatedZones: new Set(),
-    rests: () => false,
+    isCoolingDown: () => false,
     ...parts,
   };
 }
@@ -44,7 +44,7 @@
   return load;
 }
 
-test('a first assignment divides the keys evenly and leaves none out', (t) => {
+test('a first assignment divides all keys evenly', (t) => {
   const { assignments } = planRanges(view({}));
   t.deepEqual(assignments, [
     { from: 0, to: 32_767, backend: 'a' },
@@ -52,7 +52,7 @@
   ]);
 });
 
-test('keys without owner are spread although nothing is known of their load', (t) => {
+test('unowned keys are spread over the back ends even if their load is unknown', (t) => {
   const ranges = [range(0, 65_535, null)];
   const instances = [instance('a'), instance('b'), instance('c'), instance('d')];
   const { assignments } = planRanges(view({ ranges, instances }));
@@ -63,7 +63,7 @@
   );
 });
 
-test('a leaving back end is emptied, and nothing is planned for one that is alone', (t) => {
+test('a leaving back end is drained; nothing is planned when it is the only one', (t) => {
   const ranges = [range(0, 32_767, 'a'), range(32_768, 65_535, 'b')];
   const leaving = [instance('a', 'draining'), instance('b')];
   const { moves } = planRanges(view({ ranges, instances: leaving }));
@@ -76,7 +76,7 @@
   t.deepEqual(alone, { assignments: [], moves: [], forBalance: false });
 });
 
-test('busy keys leave the busiest back end, few keys at a time', (t) => {
+test('busy keys are moved from the busiest back end, few keys at a time', (t) => {
   const ranges = [range(0, 32_767, 'a'), range(32_768, 65_535, 'b')];
   const load = loadAt(1_000, 1.5);
   for (let bucket = 70; bucket < 76; bucket += 1) {
@@ -89,7 +89,7 @@
   t.true(moves.reduce((keys, { from, to }) => keys + to - from + 1, 0) < 2_000);
 });
 
-test('nothing is moved for balance while a move is under way or when it may not be', (t) => {
+test('nothing is moved for balance while a move is in progress or when balancing is not allowed', (t) => {
   const load = loadAt(1_000, 4);
   const moving = { ...range(0, 99, 'a'), movingTo: 'b' };
   const ranges = [moving, range(100, 32_767, 'a'), range(32_768, 65_535, 'b')];
@@ -98,7 +98,7 @@
   t.deepEqual(planRanges(view({ ranges: still, load, mayBalance: false })).moves, []);
 });
 
-test('beside one very busy key, the other keys of its back end leave', (t) => {
+test('the other keys of a back end with one very busy key are moved away', (t) => {
   const ranges = [range(0, 32_767, 'a'), range(32_768, 65_535, 'b')];
   const load = new KeyLoad();
   for (let round = 0; round < 40; round += 1) {
@@ -112,10 +112,10 @@
   const { moves } = planRanges(view({ ranges, load }));
   const moved = (key: number): boolean => moves.some(({ from, to }) => key >= from && key <= to);
   t.true(moved(8_000) && moved(9_000));
-  t.false(moved(1_000), 'wherever it goes it would be too much');
+  t.false(moved(1_000), 'it would overload any back end');
 });
 
-test('a back end that cannot be helped does not keep the next one from being helped', (t) => {
+test('a back end without movable keys does not prevent moves from the next busiest one', (t) => {
   const ranges = [
     range(0, 15, 'a'),
     range(16, 32_767, 'b'),
@@ -137,7 +137,7 @@
   t.true(moves.every(({ from }) => from >= 16));
 });
 
-test('keys that were moved a moment ago stay, and others are moved in their place', (t) => {
+test('recently moved keys are not moved again, and others are moved instead', (t) => {
   const load = loadAt(100, 2);
   for (let round = 0; round < 40; round += 1) {
     load.add([
@@ -149,14 +149,16 @@
   const ranges = [range(0, 32_767, 'a'), range(32_768, 65_535, 'b')];
   const free = planRanges(view({ ranges, load }));
   t.true(free.moves.some(({ from, to }) => from <= 100 && to >= 100));
-  load.noteMoved(96, 111, 1_000);
-  const { moves } = planRanges(view({ ranges, load, rests: (bucket) => load.rests(bucket, 5_000) }));
+  load.recordMove(96, 111, 1_000);
+  const { moves } = planRanges(
+    view({ ranges, load, isCoolingDown: (bucket) => load.isCoolingDown(bucket, 5_000) }),
+  );
   t.true(moves.length > 0);
   t.false(moves.some(({ from, to }) => from <= 100 && to >= 100));
-  t.false(load.rests(bucketOf(100), 9_001));
+  t.false(load.isCoolingDown(bucketOf(100), 9_001));
 });
 
-test('an evacuated zone is emptied and gets no keys; where no other zone is left, nothing moves', (t) => {
+test('an evacuated zone is drained and receives no keys; nothing moves if no other zone is left', (t) => {
   const instances = [{ ...instance('a'), zone: 'left' }, instance('b')];
   const ranges = [range(0, 32_767, 'a'), range(32_768, 65_535, 'b')];
   const evacuatedZones = new Set(['left']);
--- a/test/placement/placement-preview.test.ts
+++ b/test/placement/placement-preview.test.ts
@@ -37,7 +37,7 @@
   loads: [{ service: 'stock', rates: [[0, 30]] }],
 };
 
-test('a back end that is added gets at most its fair share plus a tenth', (t) => {
+test('an added back end receives at most its fair share plus 10%', (t) => {
   const [preview] = previewPlacement(STATE, document([...PRESENT, 'four'], { toleratedImbalance: 1 }));
   t.like(preview, { service: 'stock', change: 'changed', assignments: 0 });
   t.true((preview?.churn ?? 0) <= (SHARDS / 4) * 1.1);
@@ -45,13 +45,13 @@
   t.true(preview?.moves.every(({ to }) => to === 'four'));
 });
 
-test('a back end that is taken out is emptied', (t) => {
+test('a removed back end is drained', (t) => {
   const [preview] = previewPlacement(STATE, document(['one', 'two']));
   t.is(preview?.moves.filter(({ from }) => from === 'three').length, SHARDS / 3);
   t.false(preview?.moves.some(({ to }) => to === 'three'));
 });
 
-test('moves that balance would make anyway are told apart from those of the change', (t) => {
+test('moves that balancing would make anyway are counted apart from those of the change', (t) => {
   const [same] = previewPlacement(STATE, document(PRESENT));
   t.is(same?.change, 'unchanged');
   t.is(same?.churn, same?.churnWithoutChange);
@@ -59,7 +59,7 @@
   t.like(tolerant, { churn: 0, churnWithoutChange: same?.churn });
 });
 
-test('a service that is added or removed is shown', (t) => {
+test('added and removed services are reported', (t) => {
   const empty: PreviewState = {
     ...STATE,
     configuration: { revision: 0, document: { version: 1, services: {} } },
--- a/test/placement/planner.test.ts
+++ b/test/placement/planner.test.ts
@@ -28,13 +28,13 @@
   };
 }
 
-test('shards without owner are spread evenly', (t) => {
+test('unowned shards are spread evenly', (t) => {
   const plan = planPlacement(input(owned(Array<null>(9).fill(null)), {}));
   const counts = [0, 1, 2].map((at) => plan.assignments.filter((a) => a.backend === `backend-${at}`).length);
   t.deepEqual(counts, [3, 3, 3]);
 });
 
-test('only what was lost is assigned anew; nothing else moves within the tolerated imbalance', (t) => {
+test('only unowned shards are assigned; nothing else moves within the tolerated imbalance', (t) => {
   const rows = owned(['backend-0', null, 'backend-1', 'backend-2']);
   const plan = planPlacement(input(rows, { toleratedImbalance: 2 }));
   t.deepEqual(
@@ -44,7 +44,7 @@
   t.deepEqual(plan.moves, []);
 });
 
-test('a leaving back end is emptied and gets nothing', (t) => {
+test('a leaving back end is drained and receives nothing', (t) => {
   const rows = owned(['backend-0', 'backend-0', 'backend-1', null]);
   const plan = planPlacement(input(rows, { backends: backends(3, ['backend-0']) }));
   const moved = [...plan.assignments, ...plan.moves];
@@ -52,7 +52,7 @@
   t.true(moved.every(({ backend }) => backend !== 'backend-0'));
 });
 
-test('a back end that joins gets its share and no more', (t) => {
+test('a joining back end receives its fair share and no more', (t) => {
   const rows = owned(Array.from({ length: 300 }, (_, shard) => `backend-${shard % 3}`));
   const plan = planPlacement(
     input(rows, { backends: backends(4), toleratedImbalance: 1, maxBalanceMoves: 1_000 }),
@@ -61,13 +61,13 @@
   t.is(plan.moves.length, 75);
 });
 
-test('one shard that is hotter than a fair share is not moved back and forth', (t) => {
+test('a shard with more load than a fair share is not moved back and forth', (t) => {
   const rows = owned(['backend-0', 'backend-1', 'backend-2']);
   const plan = planPlacement(input(rows, { loadOf: (shard) => (shard === 0 ? 1_000 : 1) }));
   t.deepEqual(plan.moves, []);
 });
 
-test('a plan never raises the largest load, and settles within the limit where the load can be split', (t) => {
+test('a plan never raises the largest load, and reaches the tolerated imbalance when the load can be split', (t) => {
   const loads = fc.array(fc.integer({ min: 1, max: 20 }), { minLength: 60, maxLength: 200 });
   const property = fc.property(loads, (values) => {
     const rows = owned(values.map((_, shard) => `backend-${(shard * shard) % 3}`));
@@ -90,7 +90,7 @@
   );
 }
 
-test('a back end that joins many others gets shards, though the largest load is tolerated', (t) => {
+test('a back end that joins many others receives shards although the largest load is tolerated', (t) => {
   const count = 12;
   const rows = owned(Array.from({ length: 480 }, (_, shard) => `backend-${shard % (count - 1)}`));
   const plan = planPlacement(
