--- a/test/policy-switches.test.ts
+++ b/test/policy-switches.test.ts
@@ -1,8 +1,8 @@
-/** The program that is run has every mechanism. */
+/** A regular build contains every policy. */
 import test from 'ava';
 import { policyIsOn } from '../src/policy-switches.js';
 
-test('without a trial bundle every mechanism takes part', (t) => {
+test('every policy is enabled outside trial bundles', (t) => {
   t.true(policyIsOn('late-waiting'));
   t.true(policyIsOn('retry-hints'));
 });
