--- a/lab/fleet/fleet-run.ts
+++ b/lab/fleet/fleet-run.ts
@@ -2,7 +2,7 @@
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { readFileSync, writeFileSync } from 'node:fs';
-import { imbalance, percentile, unavailableTimes } from '../../src/placement/measures.js';
+import { imbalance, percentile, unavailableDurations } from '../../src/placement/measures.js';
 import { formatAddress } from '../../src/model/socket-address.js';
 import type { StateDocument } from '../../src/control/state-snapshot.js';
 import { readJournal, type ExecutionRecord, type JournalRecord, type SendingRecord } from '../journal.js';
@@ -197,7 +197,7 @@
     shards.set(place, [...(shards.get(place) ?? []), sending]);
   }
   return [...shards.values()].flatMap((uses) => {
-    return unavailableTimes(
+    return unavailableDurations(
       uses.map(({ sentMs, endedMs, outcome }) => ({ sentMs, endedMs, answered: outcome === 'answered' })),
     );
   });
--- a/lab/sim/directory-world.ts
+++ b/lab/sim/directory-world.ts
@@ -219,7 +219,7 @@
     if (node === null) return;
     if (!node.leading) {
       const leader = this.replicas.findIndex(({ name }) => name === node.leaderAddress);
-      if (leader >= 0 && leader !== at && node.hearsLeader) goOn(leader, ORDER_REDIRECT_MS);
+      if (leader >= 0 && leader !== at && node.hasRecentLeader) goOn(leader, ORDER_REDIRECT_MS);
       else goOn(elsewhere, pauseMs);
       return;
     }
--- a/lab/soak/held-keys.ts
+++ b/lab/soak/held-keys.ts
@@ -4,7 +4,7 @@
  */
 import { createHash } from 'node:crypto';
 import type { GrantMode } from '../../src/directory/directory-state.js';
-import { overlaps, withoutSpan } from '../../src/directory/key-ranges.js';
+import { overlaps, subtractSpan } from '../../src/directory/key-ranges.js';
 import type { HeartbeatGrant, HeldRange, ReleasedRange } from '../../src/sidecar/backend-report.js';
 import type { GrantCall } from '../../platform/stand-in-wire.js';
 
@@ -76,7 +76,7 @@
     const untilMs = sentMs + grant.holdMs;
     const rows = grant.ranges.filter((range) => this.mayTake(range));
     let letGo = this.held;
-    for (const row of rows) letGo = letGo.flatMap((range) => withoutSpan(range, row));
+    for (const row of rows) letGo = letGo.flatMap((range) => subtractSpan(range, row));
     for (const { from, to } of letGo) this.released.push({ from, to, handover: this.nextHandover() });
     this.held = rows.map(({ from, to, fence }) => ({ from, to, fence, untilMs }));
     for (const row of rows) this.noteSeen(row);
@@ -89,7 +89,7 @@
   grant({ from, to, fence, holdMs }: GrantCall): boolean {
     const granted = { from, to, fence, untilMs: this.nowMs() + holdMs };
     if (!this.mayTake(granted)) return false;
-    this.held = [...this.held.flatMap((range) => withoutSpan(range, granted)), granted];
+    this.held = [...this.held.flatMap((range) => subtractSpan(range, granted)), granted];
     this.noteSeen(granted);
     this.tell();
     return true;
@@ -97,7 +97,7 @@
 
   /** Holds a span no more; what runs on it goes on. */
   release(call: GrantCall): void {
-    this.held = this.held.flatMap((range) => withoutSpan(range, call));
+    this.held = this.held.flatMap((range) => subtractSpan(range, call));
     this.tell();
   }
 
@@ -112,7 +112,7 @@
   }
 
   private noteSeen({ from, to, fence }: HeldRange): void {
-    this.seen = [...this.seen.flatMap((range) => withoutSpan(range, { from, to })), { from, to, fence }];
+    this.seen = [...this.seen.flatMap((range) => subtractSpan(range, { from, to })), { from, to, fence }];
   }
 
   private forgetExpired(): void {
--- a/src/directory/directory-machine.ts
+++ b/src/directory/directory-machine.ts
@@ -148,11 +148,11 @@
 }
 
 function putItems(state: DirectoryState, items: readonly ConfigurationItem[], index: number): AppliedCommand {
-  const grantModeChanges = items.filter((item) => changesGrantMode(state, item)).map(({ name }) => name);
+  const servicesToFence = items.filter((item) => changesGrantMode(state, item)).map(({ name }) => name);
   for (const item of items) state.items.set(itemKey(item.kind, item.name), item);
   const changes: DirectoryChange[] = items.length === 0 ? [] : [{ kind: 'items', items }];
   changes.push(...addKeyedServices(state, items));
-  for (const service of grantModeChanges) changes.push(...raiseFences(state, service, index));
+  for (const service of servicesToFence) changes.push(...raiseFences(state, service, index));
   return { outcome: DONE, changes };
 }
 
@@ -341,7 +341,7 @@
   const changed = changeSpan(ranges, span, (range) => {
     const isOwnedUnderFence = range.owner === command.owner && range.fence === command.fence;
     if (!isOwnedUnderFence || range.movingTo === null) return range;
-    return completeRange(state, range, command.handover, index);
+    return rangeAfterRelease(state, range, command.handover, index);
   });
   return { outcome: DONE, changes: [putRanges(state, command.service, changed)] };
 }
@@ -356,7 +356,12 @@
   return { outcome: DONE, changes: [putRanges(state, command.service, changed)] };
 }
 
-function completeRange(state: DirectoryState, range: KeyRange, handover: string, index: number): KeyRange {
+function rangeAfterRelease(
+  state: DirectoryState,
+  range: KeyRange,
+  handover: string,
+  index: number,
+): KeyRange {
   const target = range.movingTo === null ? undefined : state.instances.get(range.movingTo);
   if (target === undefined) return { ...range, owner: null, session: 0, movingTo: null, handover };
   return { ...range, owner: target.id, session: target.session, fence: index, movingTo: null, handover };
--- a/src/directory/directory-metrics.ts
+++ b/src/directory/directory-metrics.ts
@@ -4,7 +4,7 @@
 import type { DirectoryNode } from './directory-node.js';
 
 /** Registers the metrics of a replica. */
-export function exposeDirectory(metrics: DaemonMetrics, node: DirectoryNode): void {
+export function exposeDirectoryMetrics(metrics: DaemonMetrics, node: DirectoryNode): void {
   metrics.value('raft_term', 'Current term', () => node.consensus?.core.term ?? 0);
   metrics.value('raft_is_leader', '1 when this replica leads', () => Number(node.leading));
   metrics.value('raft_commit_index', 'Newest committed entry', () => node.consensus?.core.commitIndex ?? 0);
@@ -14,7 +14,7 @@
     'Replicas that vote',
     () => node.consensus?.core.membership.voters.length ?? 0,
   );
-  metrics.value('hears_leader', '1 while a leader is heard', () => Number(node.hearsLeader));
+  metrics.value('hears_leader', '1 while a leader is heard', () => Number(node.hasRecentLeader));
   metrics.value('log_syncs', 'Syncs of the log', () => node.consensus?.counters.syncs ?? 0);
   metrics.value('snapshots_taken', 'Snapshots taken', () => node.consensus?.counters.snapshotsTaken ?? 0);
   metrics.value('watchers', 'Daemons that watch this replica', () => node.feed.size);
--- a/src/directory/directory-node.ts
+++ b/src/directory/directory-node.ts
@@ -161,8 +161,8 @@
     return this.replica?.leading === true && this.leadingTerm === this.replica.core.term;
   }
 
-  /** Whether there was recent contact with a leader. */
-  get hearsLeader(): boolean {
+  /** Whether there was recent contact with a leader, so that the state of this replica is not stale. */
+  get hasRecentLeader(): boolean {
     if (this.replica === null) return false;
     const { core } = this.replica;
     const staleMs = STALE_ELECTION_TIMEOUTS * this.options.settings.timing.electionTimeoutMs;
@@ -171,7 +171,7 @@
 
   /** Whether this replica recently held everything that was committed, so that daemons may watch it. */
   get isCurrent(): boolean {
-    if (this.replica === null || !this.hearsLeader) return false;
+    if (this.replica === null || !this.hasRecentLeader) return false;
     const staleMs = STALE_ELECTION_TIMEOUTS * this.options.settings.timing.electionTimeoutMs;
     return this.options.runtime.nowMs() - this.replica.core.upToDateMs < staleMs;
   }
@@ -184,8 +184,8 @@
 
   /** Address of the leader if it is another replica and was recently in contact; null otherwise. */
   get leaderElsewhere(): string | null {
-    const { leaderAddress, hearsLeader, name } = this;
-    return leaderAddress !== name && hearsLeader ? leaderAddress : null;
+    const { leaderAddress, hasRecentLeader, name } = this;
+    return leaderAddress !== name && hasRecentLeader ? leaderAddress : null;
   }
 
   /** The consensus replica; null until formation has finished. */
@@ -315,7 +315,7 @@
       log,
       replica: () => this.replica,
       leading: () => this.leading,
-      hasRecentLeader: () => this.hearsLeader,
+      hasRecentLeader: () => this.hasRecentLeader,
       leaderAddress: () => this.leaderAddress,
       sendTo: (address, request) => {
         this.dialer.sendTo(address, request);
@@ -520,7 +520,7 @@
     // Entries that are committed but not yet applied would be missing from the table sent to a new watcher.
     const isApplying = this.appliedIndex < (this.replica?.core.commitIndex ?? 0);
     if (!this.isCurrent || isApplying || fromIndex > this.appliedIndex) {
-      const reason = this.hearsLeader ? 'behind' : 'no-leader';
+      const reason = this.hasRecentLeader ? 'behind' : 'no-leader';
       connection.send({ kind: 'watch-refused', reason });
       return;
     }
--- a/src/directory/key-load.ts
+++ b/src/directory/key-load.ts
@@ -23,6 +23,7 @@
 export class KeyLoad {
   /** Average number of used slots by bucket. */
   readonly slots = new Float64Array(BUCKET_COUNT);
+  /** Demanded slot time in ms in the current window, by bucket. */
   private readonly window = new Float64Array(BUCKET_COUNT);
   private assumedLoadPerKey = 0;
   /** Time in ms at which each bucket was last moved for balance. */
--- a/src/directory/key-ranges.ts
+++ b/src/directory/key-ranges.ts
@@ -76,7 +76,7 @@
 }
 
 /** Subtracts a span from an object that covers keys; returns the zero, one or two remaining parts. */
-export function withoutSpan<T extends KeySpan>(whole: T, span: KeySpan): T[] {
+export function subtractSpan<T extends KeySpan>(whole: T, span: KeySpan): T[] {
   if (!overlaps(whole, span)) return [whole];
   const parts = [
     { ...whole, to: span.from - 1 },
--- a/src/directory/range-planning-loop.ts
+++ b/src/directory/range-planning-loop.ts
@@ -26,7 +26,7 @@
 
 /** Plans key ranges while this replica leads. */
 export class RangePlanningLoop {
-  private readonly progress = new Map<string, ServicePlanningState>();
+  private readonly planningStates = new Map<string, ServicePlanningState>();
 
   constructor(
     private readonly state: () => DirectoryState,
@@ -36,12 +36,12 @@
 
   /** Discards all load figures when this replica becomes leader; daemons report their load again. */
   startLeading(): void {
-    this.progress.clear();
+    this.planningStates.clear();
   }
 
   /** Records the load that a daemon reported for its back end. */
   reportLoad(service: string, load: readonly (readonly [number, number])[], nowMs: number): void {
-    if (load.length > 0) this.progressOf(service, nowMs).load.add(load);
+    if (load.length > 0) this.planningStateOf(service, nowMs).load.add(load);
   }
 
   /** Plans every keyed service whose previous plan is no longer in flight. */
@@ -50,7 +50,7 @@
   }
 
   private planService(service: string, ranges: readonly KeyRange[], nowMs: number): void {
-    const progress = this.progressOf(service, nowMs);
+    const progress = this.planningStateOf(service, nowMs);
     this.closeWindow(progress, nowMs);
     const instances = [...this.state().instances.values()].filter((instance) => instance.service === service);
     if (instances.length !== progress.lastInstanceCount) {
@@ -105,8 +105,8 @@
     progress.windowEndMs = nowMs + LOAD_WINDOW_MS;
   }
 
-  private progressOf(service: string, nowMs: number): ServicePlanningState {
-    const known = this.progress.get(service);
+  private planningStateOf(service: string, nowMs: number): ServicePlanningState {
+    const known = this.planningStates.get(service);
     if (known !== undefined) return known;
     const progress: ServicePlanningState = {
       load: new KeyLoad(),
@@ -116,7 +116,7 @@
       nextRebalanceMs: nowMs + MIN_REBALANCE_INTERVAL_MS,
       windowEndMs: nowMs + LOAD_WINDOW_MS,
     };
-    this.progress.set(service, progress);
+    this.planningStates.set(service, progress);
     return progress;
   }
 }
--- a/src/placement/measures.ts
+++ b/src/placement/measures.ts
@@ -7,32 +7,32 @@
   return Math.max(...loads) / (total / loads.length);
 }
 
-/** One attempt to use a shard, as observed by a caller. Times are in ms of a single clock. */
-export interface ShardUse {
+/** One attempt to use a shard, as observed by a caller, with times in ms of a single clock. */
+export interface ShardAttempt {
   readonly sentMs: number;
   readonly endedMs: number;
   readonly answered: boolean;
 }
 
 /**
- * Returns the durations in ms for which one shard was unavailable: from the start of the first failed use to the end of
- * the first later-sent use that was answered. One that has not ended lasts until the end of the last use.
+ * Returns the durations in ms for which one shard was unavailable: from the start of the first failed attempt to the end
+ * of the first later-sent attempt that was answered. One that has not ended lasts until the end of the last attempt.
  */
-export function unavailableTimes(uses: readonly ShardUse[]): number[] {
-  const bySending = [...uses].sort((left, right) => left.sentMs - right.sentMs);
-  const times: number[] = [];
+export function unavailableDurations(attempts: readonly ShardAttempt[]): number[] {
+  const bySending = [...attempts].sort((left, right) => left.sentMs - right.sentMs);
+  const durationsMs: number[] = [];
   let failedSinceMs: number | null = null;
-  for (const use of bySending) {
-    if (!use.answered) {
-      failedSinceMs ??= use.sentMs;
+  for (const attempt of bySending) {
+    if (!attempt.answered) {
+      failedSinceMs ??= attempt.sentMs;
     } else if (failedSinceMs !== null) {
-      times.push(use.endedMs - failedSinceMs);
+      durationsMs.push(attempt.endedMs - failedSinceMs);
       failedSinceMs = null;
     }
   }
   const last = bySending.at(-1);
-  if (failedSinceMs !== null && last !== undefined) times.push(last.endedMs - failedSinceMs);
-  return times;
+  if (failedSinceMs !== null && last !== undefined) durationsMs.push(last.endedMs - failedSinceMs);
+  return durationsMs;
 }
 
 /** Returns a percentile by the nearest-rank method, with `share` from 0 to 1; 0 when there are no values. */
--- a/src/sidecar/heartbeat-grants.ts
+++ b/src/sidecar/heartbeat-grants.ts
@@ -3,7 +3,7 @@
  * heartbeat shows that the back end has let it go.
  */
 import type { KeyRange } from '../directory/directory-state.js';
-import { overlaps, withoutSpan } from '../directory/key-ranges.js';
+import { overlaps, subtractSpan } from '../directory/key-ranges.js';
 import type { BackendHeartbeat, HeartbeatGrant, HeldRange, ReleasedRange } from './backend-report.js';
 import { rangeName, ReleaseReporter, type KeyGrantPorts, type KeyGrants } from './key-grants.js';
 
@@ -167,7 +167,7 @@
 function isShown(range: KeyRange, holds: readonly HeldRange[]): boolean {
   let missing: KeyRange[] = [range];
   for (const held of holds) {
-    if (held.fence === range.fence) missing = missing.flatMap((part) => withoutSpan(part, held));
+    if (held.fence === range.fence) missing = missing.flatMap((part) => subtractSpan(part, held));
   }
   return missing.length === 0;
 }
--- a/src/sidecar/invoked-grants.ts
+++ b/src/sidecar/invoked-grants.ts
@@ -3,7 +3,7 @@
  * later, so its time counts as granted although nothing is sent to the back end on the strength of it.
  */
 import type { KeyRange } from '../directory/directory-state.js';
-import { overlaps, withoutSpan } from '../directory/key-ranges.js';
+import { overlaps, subtractSpan } from '../directory/key-ranges.js';
 import { idOfLife } from '../model/backend-life.js';
 import type { CancelTimer } from '../runtime/runtime.js';
 import type { BackendCalls, GrantResult } from './backend-report.js';
@@ -283,7 +283,7 @@
     const to = Math.min(range.to, record.range.to);
     const leaving = { ...record.range, from, to };
     this.records.set(rangeName(leaving), { ...record, range: leaving, underWay: false, releasing: true });
-    for (const kept of withoutSpan(record.range, range)) this.keepPart(record, kept);
+    for (const kept of subtractSpan(record.range, range)) this.keepPart(record, kept);
   }
 
   /** A part of a range that was cut; what may be held of it counts from before the cut as well. */
--- a/src/sidecar/outstanding-grants.ts
+++ b/src/sidecar/outstanding-grants.ts
@@ -4,7 +4,7 @@
  * make two back ends hold them.
  */
 import type { GrantResult, HeldRange } from './backend-report.js';
-import { overlaps, withoutSpan } from '../directory/key-ranges.js';
+import { overlaps, subtractSpan } from '../directory/key-ranges.js';
 
 /** Grants that are remembered one by one; beyond that the two oldest are remembered as one. */
 const REMEMBERED = 512;
@@ -60,7 +60,7 @@
   /** The back end has seen a fence, so it refuses all that is below it. */
   noteSeen(seen: HeldRange): void {
     this.grants = this.grants.flatMap((grant) =>
-      grant.fence < seen.fence ? withoutSpan(grant, seen) : [grant],
+      grant.fence < seen.fence ? subtractSpan(grant, seen) : [grant],
     );
   }
 
