--- a/src/sidecar/acknowledged-leaves.ts
+++ b/src/sidecar/acknowledged-leaves.ts
@@ -1,22 +1,25 @@
-/** Leaves of back ends that were acknowledged here: when each life is sent nothing more. */
+/**
+ * Leaves of back ends that this daemon has acknowledged, with the time after which each incarnation receives no
+ * requests.
+ */
 
-/** Leaves that are remembered; a daemon sees one back end at a time. */
-const REMEMBERED_LEAVES = 64;
+/** Maximum number of stored leaves; a daemon sees one back end at a time. */
+const MAX_LEAVES = 64;
 
-/** Closing times by the name of the life; they only come sooner. */
+/** Closing times by incarnation name; a closing time can only move earlier. */
 export class AcknowledgedLeaves {
-  private readonly closing = new Map<string, number>();
+  private readonly closingTimes = new Map<string, number>();
 
-  /** A life is to be sent nothing from a time on, in ms of the daemon's clock. */
-  note(life: string, closesAtMs: number): void {
-    this.closing.set(life, Math.min(this.closesAtMs(life), closesAtMs));
-    if (this.closing.size <= REMEMBERED_LEAVES) return;
-    const [oldest] = this.closing.keys();
-    if (oldest !== undefined) this.closing.delete(oldest);
+  /** Records the time after which an incarnation receives no requests, in ms of the daemon's clock. */
+  record(incarnation: string, closesAtMs: number): void {
+    this.closingTimes.set(incarnation, Math.min(this.closesAtMs(incarnation), closesAtMs));
+    if (this.closingTimes.size <= MAX_LEAVES) return;
+    const [oldest] = this.closingTimes.keys();
+    if (oldest !== undefined) this.closingTimes.delete(oldest);
   }
 
-  /** When requests to a life stop; infinite for one that stays. */
-  closesAtMs(life: string | null): number {
-    return (life === null ? undefined : this.closing.get(life)) ?? Infinity;
+  /** Returns the time after which an incarnation receives no requests; Infinity if it is not leaving. */
+  closesAtMs(incarnation: string | null): number {
+    return (incarnation === null ? undefined : this.closingTimes.get(incarnation)) ?? Infinity;
   }
 }
--- a/src/sidecar/backend-presence.ts
+++ b/src/sidecar/backend-presence.ts
@@ -1,6 +1,6 @@
 /**
- * Which life of the back end is beside a daemon: takes what it tells of itself, finds out when it is gone, and keeps its
- * registration in step with both.
+ * Tracks the incarnation of the local back end: processes its heartbeats, detects its end, and keeps its
+ * registration in the directory up to date.
  */
 import type { DirectoryRequest } from '../directory/directory-messages.js';
 import { lifeName, type BackendLife } from '../model/backend-life.js';
@@ -10,151 +10,169 @@
 import type { BackendCalls, BackendHeartbeat } from './backend-report.js';
 import type { DirectoryTable } from './directory-table.js';
 import type { LeaseKeeper } from './lease-keeper.js';
-import { LifeCheck } from './life-check.js';
-import { LocalBackend, type HeartbeatNews } from './local-backend.js';
+import { IncarnationProbe } from './life-check.js';
+import { LocalBackend, type HeartbeatOutcome } from './local-backend.js';
 
-/** Pause in ms before a back end that refused a connection is asked once more. */
-const SECOND_LOOK_MS = 120;
+/** Delay in ms before a back end that refused a connection is checked again. */
+const RECHECK_DELAY_MS = 120;
 
-/** Pause in ms between looks at a back end that has left. */
-const LOOK_PAUSE_MS = 300;
+/** Interval in ms between checks of a back end that has left. */
+const RECHECK_INTERVAL_MS = 300;
 
-/** What is needed of the daemon. */
+/** Dependencies on the daemon. */
 export interface BackendPresencePorts {
   readonly runtime: Runtime;
   readonly log: EventLog;
   readonly table: DirectoryTable;
   readonly service: string;
-  /** Time in ms after the acknowledgement of a leave in which the back end may still be sent requests. */
+  /** Time in ms after the acknowledgement of a leave during which the back end may still receive requests. */
   readonly drainMs: number;
-  /** Time in ms without a heartbeat after which a back end with keys counts as gone. */
-  readonly silenceMs: number;
+  /** Time in ms without a heartbeat after which a back end with keys is considered ended. */
+  readonly heartbeatTimeoutMs: number;
   readonly calls: BackendCalls;
   readonly lease: () => LeaseKeeper;
   readonly send: (request: DirectoryRequest) => boolean;
-  /** Asks whether any process listens at the back end's address. */
+  /** Checks whether any process listens at the back end's address. */
   readonly listens: () => Promise<boolean>;
-  /** Whether the back end certainly holds no keys any more. */
-  readonly holdsNothing: () => boolean;
-  /** The present life may be sent requests from now on. */
+  /** Whether the back end is certain to hold no keys any more. */
+  readonly holdsNoKeys: () => boolean;
+  /** Called when the current incarnation is confirmed and may receive requests. */
   readonly onConfirmed: () => void;
-  /** The present life is gone. */
-  readonly onGone: () => void;
+  /** Called when the current incarnation has ended. */
+  readonly onRemoved: () => void;
 }
 
-/** The back end's presence. */
+/** Presence of the local back end. */
 export class BackendPresence {
   readonly backend: LocalBackend;
-  private readonly check: LifeCheck;
+  private readonly probe: IncarnationProbe;
   private readonly startedMs: number;
-  private lookingAgain = false;
-  private confirming = false;
-  private lookDueMs = -Infinity;
+  private recheckInProgress = false;
+  private confirmationInProgress = false;
+  private nextRecheckMs = -Infinity;
 
   constructor(private readonly ports: BackendPresencePorts) {
     const { runtime, drainMs, calls } = ports;
     this.startedMs = runtime.nowMs();
     this.backend = new LocalBackend(drainMs, this.startedMs);
     const healthPath = (): string | null => ports.table.service(ports.service)?.healthPath ?? null;
-    this.check = new LifeCheck({ runtime, backend: this.backend, calls, healthPath });
+    this.probe = new IncarnationProbe({ runtime, backend: this.backend, calls, healthPath });
   }
 
-  /** Whether the life that is known is the one at the address; where nobody can be asked, it is taken to be. */
-  async isKnownLife(): Promise<boolean> {
-    return await this.check.isKnown();
+  /**
+   * Whether the known incarnation is the one at the back end's address; true if the service has no health path to
+   * probe.
+   */
+  async isKnownIncarnationPresent(): Promise<boolean> {
+    return await this.probe.isKnownIncarnationPresent();
   }
 
   /**
-   * Whether a heartbeat may be of the life that is here. Whatever becomes of it, a leave that it tells binds this daemon from
-   * now on, since its sender is told that it is known.
+   * Whether a heartbeat may come from the incarnation that is present. Even if it is rejected, a leave that it
+   * reports is binding for this daemon from now on, since its sender receives an acknowledgement.
    */
-  async admits(heartbeat: BackendHeartbeat): Promise<boolean> {
-    if (heartbeat.condition === 'draining') this.noteLeave(heartbeat, 'heartbeat');
-    if (await this.check.isPresent(heartbeat)) return true;
+  async accepts(heartbeat: BackendHeartbeat): Promise<boolean> {
+    if (heartbeat.condition === 'draining') this.recordLeave(heartbeat, 'heartbeat');
+    if (await this.probe.isPresent(heartbeat)) return true;
     const fields = { instance: lifeName(heartbeat), present: this.backend.life };
     this.ports.log.event('heartbeat-of-past-life', fields);
     return false;
   }
 
-  /** Takes a heartbeat that was admitted. */
-  take(heartbeat: BackendHeartbeat, nowMs: number): HeartbeatNews {
-    const news = this.backend.take(heartbeat, nowMs);
-    if (news === 'stale') this.logStale(heartbeat);
-    return news;
+  /** Processes a heartbeat that was accepted. */
+  recordHeartbeat(heartbeat: BackendHeartbeat, nowMs: number): HeartbeatOutcome {
+    const outcome = this.backend.recordHeartbeat(heartbeat, nowMs);
+    if (outcome === 'stale') this.logStale(heartbeat);
+    return outcome;
   }
 
-  /** A life says that it leaves and sends no more heartbeats; what it said binds, also if it is not known. */
-  async leave(said: BackendLife): Promise<void> {
-    const life = await this.check.saysGoodbye(said);
-    this.noteLeave(life, 'goodbye');
-    this.backend.leave(life, this.ports.runtime.nowMs());
+  /**
+   * Processes the final message of an incarnation that leaves and sends no more heartbeats. It is binding even if
+   * that incarnation is unknown here.
+   */
+  async leave(reported: BackendLife): Promise<void> {
+    const incarnation = await this.probe.resolveLeaving(reported);
+    this.recordLeave(incarnation, 'goodbye');
+    this.backend.leave(incarnation, this.ports.runtime.nowMs());
     this.register();
   }
 
-  /** Registers what is known of the present life; the table may know it from the process before this one. */
+  /**
+   * Registers the current incarnation. The table may already hold its registration, made by the previous process of
+   * this daemon.
+   */
   register(): void {
     this.adoptRegistration();
     const { heartbeat, life, leaving, confirmed } = this.backend;
-    // A life that is not confirmed is not offered to others: it may have left before this process began.
+    // An unconfirmed incarnation is not registered: it may have left before this process started.
     if (heartbeat === null || life === null || !(confirmed || leaving)) return;
     const { service, zone, slots, version } = heartbeat;
     const condition = leaving ? 'draining' : 'ready';
     this.ports.lease().update({ id: life, service, zone, slots, version, condition });
   }
 
-  /** A connection was refused: if nobody listens a moment later, the back end is gone. */
-  async lookAgain(): Promise<void> {
+  /**
+   * Called after a refused connection. If no process listens at the address after a short delay either, the back
+   * end has ended.
+   */
+  async recheckListening(): Promise<void> {
     const { runtime, listens } = this.ports;
     const { life } = this.backend;
-    if (this.lookingAgain || life === null) return;
-    this.lookingAgain = true;
-    this.lookDueMs = runtime.nowMs() + LOOK_PAUSE_MS;
-    await pause(this.ports.runtime, SECOND_LOOK_MS);
-    const isThere = await listens();
-    this.lookingAgain = false;
-    if (!isThere && this.backend.life === life) this.gone('no process listens at its address');
+    if (this.recheckInProgress || life === null) return;
+    this.recheckInProgress = true;
+    this.nextRecheckMs = runtime.nowMs() + RECHECK_INTERVAL_MS;
+    await pause(this.ports.runtime, RECHECK_DELAY_MS);
+    const isListening = await listens();
+    this.recheckInProgress = false;
+    if (!isListening && this.backend.life === life) this.gone('no process listens at its address');
   }
 
-  /** A back end that holds nothing any more gives its keys up before its lease ends. */
-  step(isKeyed: boolean): void {
+  /**
+   * Removes a back end that has left or is silent once it is certain to hold no keys, so that its keys are released
+   * before its lease expires.
+   */
+  checkRemoved(isKeyed: boolean): void {
     const { backend } = this;
-    const { runtime, silenceMs } = this.ports;
+    const { runtime, heartbeatTimeoutMs } = this.ports;
     const nowMs = runtime.nowMs();
     if (backend.life === null) return;
-    const holdsNothing = this.ports.holdsNothing();
+    const holdsNoKeys = this.ports.holdsNoKeys();
     if (backend.left && nowMs > backend.closesAtMs) {
-      if (holdsNothing) this.gone('it left');
-      else if (nowMs >= this.lookDueMs) void this.lookAgain();
+      if (holdsNoKeys) this.gone('it left and its drain time is over');
+      else if (nowMs >= this.nextRecheckMs) void this.recheckListening();
       return;
     }
-    const isSilent = nowMs - backend.lastHeardMs > silenceMs;
-    if (isKeyed && isSilent && holdsNothing) this.gone('it is silent');
+    const isTimedOut = nowMs - backend.lastHeartbeatMs > heartbeatTimeoutMs;
+    if (isKeyed && isTimedOut && holdsNoKeys) this.gone('no heartbeat received');
   }
 
-  /** The present life is gone, and how that is known. */
+  /** Removes the current incarnation for the given reason. */
   gone(reason: string): void {
     this.ports.log.event('backend-gone', { instance: this.backend.life, reason });
     this.backend.forget();
     this.ports.lease().giveUp(reason);
-    this.ports.onGone();
+    this.ports.onRemoved();
   }
 
-  private noteLeave(life: BackendLife, by: 'heartbeat' | 'goodbye'): void {
+  private recordLeave(incarnation: BackendLife, by: 'heartbeat' | 'goodbye'): void {
     const { runtime, log } = this.ports;
-    const instance = lifeName(life);
+    const instance = lifeName(incarnation);
     const nowMs = runtime.nowMs();
     const isPresent = this.backend.life === instance;
-    const isKnown = isPresent && this.backend.leaving;
-    this.backend.noteLeave(life, nowMs);
-    if (isKnown && by === 'heartbeat') return;
+    const isRepeated = isPresent && this.backend.leaving;
+    this.backend.recordLeave(incarnation, nowMs);
+    if (isRepeated && by === 'heartbeat') return;
     const closesInMs = isPresent ? Math.round(this.backend.closesAtMs - nowMs) : null;
     const upMs = Math.round(nowMs - this.startedMs);
     log.event('leave-acknowledged', { instance, by, isPresent, closesInMs, upMs });
-    if (!isPresent) this.reportLeave(instance);
+    if (!isPresent) this.reportLeaveToDirectory(instance);
   }
 
-  /** A life that this process has not heard of may be registered from the process before it, and be sent work by others. */
-  private reportLeave(id: string): void {
+  /**
+   * Reports the leave of an incarnation that this process does not know. It may be registered by the previous
+   * process, and would be sent requests by other daemons.
+   */
+  private reportLeaveToDirectory(id: string): void {
     const known = this.ports.table.instance(id);
     if (known === undefined || known.condition === 'draining') return;
     this.ports.send({ kind: 'condition', id, session: known.session, condition: 'draining' });
@@ -176,22 +194,23 @@
     if (life === null || this.ports.table.index === 0) return;
     const known = this.ports.table.instance(life);
     if (known?.condition === 'draining') this.backend.adoptLeave(this.ports.runtime.nowMs());
-    else if (!confirmed) void this.confirmAtAddress();
+    else if (!confirmed) void this.confirmByProbe();
   }
 
   /**
-   * The directory knows of no leave, but the process before this one may have acknowledged one without having reached it: the
-   * back end is asked as well. Where it does not say that it is well, its next heartbeat tells. Served on the directory's
-   * word alone, one that had left got requests for as long as it was there; made to wait for its second heartbeat, each
-   * back end stood still for 1.4 s after a loss of power (468 of its callers' tries were refused in 3 s).
+   * Confirms the current incarnation by a probe. The directory has no record of a leave, but the previous process
+   * may have acknowledged one before it reached the directory. If the probe does not report the back end as
+   * healthy, the next heartbeat decides. Both shortcuts failed: with the directory alone, a back end that had left
+   * received requests for as long as its process ran; waiting for its second heartbeat, each back end was idle for
+   * 1.4 s after a power loss (468 of its callers' attempts were refused within 3 s).
    */
-  private async confirmAtAddress(): Promise<void> {
+  private async confirmByProbe(): Promise<void> {
     const { life } = this.backend;
-    if (this.confirming) return;
-    this.confirming = true;
-    const staysThere = await this.check.staysThere();
-    this.confirming = false;
-    if (!staysThere || life === null || this.backend.life !== life || this.backend.confirmed) return;
+    if (this.confirmationInProgress) return;
+    this.confirmationInProgress = true;
+    const isHealthy = await this.probe.isCurrentHealthy();
+    this.confirmationInProgress = false;
+    if (!isHealthy || life === null || this.backend.life !== life || this.backend.confirmed) return;
     this.backend.confirm();
     this.register();
     this.ports.onConfirmed();
--- a/src/sidecar/backend-report.ts
+++ b/src/sidecar/backend-report.ts
@@ -1,14 +1,14 @@
-/** What a back end and the daemon beside it tell each other, in the product's own terms. */
+/** Messages between a back end and its daemon, independent of the wire format. */
 import type { BackendCondition } from '../directory/directory-state.js';
 
-/** Keys that a back end holds under a fence. */
+/** Range of keys that a back end holds under a fence. */
 export interface HeldRange {
   readonly from: number;
   readonly to: number;
   readonly fence: number;
 }
 
-/** Keys that a back end has let go, and what it left for the next holder. */
+/** Range of keys that a back end has released, and the handover data it left for the next holder. */
 export interface ReleasedRange {
   readonly from: number;
   readonly to: number;
@@ -17,64 +17,68 @@
 
 /** One heartbeat of a back end. */
 export interface BackendHeartbeat {
-  /** Name that the back end goes by; another life may go by the same. */
+  /** Id of the back end; other incarnations may use the same id. */
   readonly id: string;
-  /** When this life started, in ms of its machine's wall clock; null where it does not tell. */
+  /** Start time of this incarnation, in ms of its machine's wall clock; null if not reported. */
   readonly bornMs: number | null;
   readonly service: string;
   readonly zone: string;
   readonly slots: number;
   readonly condition: BackendCondition;
-  /** Version of its software; empty where it tells none. */
+  /** Software version; empty if not reported. */
   readonly version: string;
-  /** Rises with every heartbeat of one life. */
+  /** Increases with every heartbeat of an incarnation. */
   readonly sequence: number;
-  /** Time in ms for which it stays cold, from when it sent this; null when it did not tell. */
+  /** Time in ms, from the sending of the heartbeat, for which the back end stays cold; null if not reported. */
   readonly coldLeftMs: number | null;
-  /** Null where grants do not travel in heartbeats. */
+  /** Ranges that the back end holds; null if grants are not sent in heartbeat answers. */
   readonly holds: readonly HeldRange[] | null;
   readonly released: readonly ReleasedRange[];
 }
 
-/** A range that a back end is to hold, with what its last holder left. */
+/** Range granted to a back end, with the handover data of its previous holder. */
 export interface GrantedRange extends HeldRange {
   readonly handover: string;
 }
 
-/** Everything that a back end is to hold. */
+/** All ranges granted to a back end. */
 export interface HeartbeatGrant {
   readonly ranges: readonly GrantedRange[];
-  /** Counted from when the heartbeat was sent, in ms. */
+  /** Duration of the grant in ms, counted from when the heartbeat was sent. */
   readonly holdMs: number;
 }
 
 /**
- * What became of a grant: it came to a life that goes by another id (misdirected), nobody listened at the address so that it
- * was never sent (not-sent), or it was sent and may still be taken (unanswered).
+ * Outcome of a grant call. `misdirected`: it reached an incarnation with another id. `not-sent`: no process
+ * listened at the address. `unanswered`: it was sent and may still be applied. `superseded`: the back end has seen
+ * a higher fence.
  */
 export type GrantResult = 'granted' | 'superseded' | 'misdirected' | 'not-sent' | 'unanswered';
 
-/** What a back end tells of itself when it is asked. */
+/** Answer of a back end to an identity probe. */
 export interface BackendIdentity {
-  /** Id that it goes by; null when it does not tell. */
+  /** Id of the back end; null if not reported. */
   readonly id: string | null;
-  /** When it started, in ms of its machine's wall clock; null when it does not tell. */
+  /** Start time in ms of its machine's wall clock; null if not reported. */
   readonly bornMs: number | null;
-  /** Whether it says that it is well and stays. */
+  /** Whether the back end reports that it is healthy and not leaving. */
   readonly isWell: boolean;
-  /** Time in ms for which it stays cold; null when it does not tell. */
+  /** Time in ms for which the back end stays cold; null if not reported. */
   readonly coldLeftMs: number | null;
 }
 
 /**
- * Calls to a back end: grants of keys where they are sent in calls, and a question. A call that names the id it is meant for
- * is carried out by no other.
+ * Calls to a back end: identity probes, and grants and releases of keys if those are made by calls. A back end
+ * rejects a call that names another id.
  */
 export interface BackendCalls {
-  /** Asks at a path who it is; null when there was no answer. */
+  /** Queries the identity of the back end at a path; null if there was no answer. */
   identify(path: string): Promise<BackendIdentity | null>;
-  /** Grants a range for `holdMs` from when the call arrives; the same call again renews it. */
+  /** Grants a range for `holdMs`, counted from when the call arrives. Repeating the call renews the grant. */
   grant(id: string, range: GrantedRange, holdMs: number): Promise<GrantResult>;
-  /** Takes a range back; the handover comes once nothing runs on it. Null when it was not answered, or misdirected. */
+  /**
+   * Revokes a range; resolves to the handover data once no request runs on it, or to null if the call was not
+   * answered or was misdirected.
+   */
   release(id: string, range: HeldRange): Promise<string | null>;
 }
--- a/src/sidecar/directory-client.ts
+++ b/src/sidecar/directory-client.ts
@@ -1,7 +1,7 @@
 /**
- * A daemon's connection to the directory: it watches one replica at a time, and sends its requests there. A replica
- * that is behind this daemon, hears no leader or falls silent is left for the next one; until then the last table
- * stays in force.
+ * A daemon's connection to the directory. It watches one replica at a time and sends its requests to that replica.
+ * It switches to the next replica if the present one is behind this daemon, has no leader or stops sending; until
+ * then the last table stays in force.
  */
 import type { DirectoryNotice, DirectoryRequest } from '../directory/directory-messages.js';
 import { parseAddress } from '../directory/replica-address.js';
@@ -10,53 +10,58 @@
 import type { EventLog } from '../telemetry/event-log.js';
 import type { DirectoryTable } from './directory-table.js';
 
-/** Silence after which a replica is left, in ms: three of its signs of life and some delay. */
-const SILENCE_LIMIT_MS = 900;
+/**
+ * Time in ms without received bytes after which the client switches replicas: three `alive` notices and some delay.
+ */
+const SILENCE_TIMEOUT_MS = 900;
 
 /**
- * Time without a whole message after which a replica is left although bytes arrive, in ms. A slow link of 0.5 MB/s
- * carries a table of 100,000 routes in it.
+ * Time in ms without a complete message after which the client switches replicas even though bytes arrive. A slow
+ * link of 0.5 MB/s transfers a table of 100,000 routes in it.
  */
-const MESSAGE_LIMIT_MS = 5_000;
+const MESSAGE_TIMEOUT_MS = 5_000;
 
-/** Age of the last sign of life up to which the table counts as current, in ms: two signs of life and some delay. */
-const CURRENT_LIMIT_MS = 600;
+/** Maximum age in ms of the last `alive` notice for the table to count as current: two notices and some delay. */
+const MAX_CURRENT_AGE_MS = 600;
 
 /**
- * Pause in ms after all replicas that are known were tried in vain. Without it daemons took all processor time that there
- * was, theirs and that of the replicas which were to elect a leader.
+ * Delay in ms after all known replicas were tried without success. Without it, daemons used up all processor time,
+ * including what the replicas needed to elect a leader.
  */
-const ROUND_PAUSE_MS = 60;
+const ROUND_RETRY_DELAY_MS = 60;
 
-/** Pause between checks of the connection, in ms. */
-const CHECK_MS = 150;
+/** Interval in ms between checks of the connection. */
+const CHECK_INTERVAL_MS = 150;
 
-/** What the owner of a client is told. */
+/** Event handlers of a directory client. */
 export interface DirectoryClientHandlers {
-  /** The table has changed. */
+  /** Called when the table has changed. */
   onTable(): void;
   onNotice(notice: DirectoryNotice): void;
-  /** A replica has answered after a time without any. */
+  /** Called when the client starts to follow a replica. */
   onConnected(): void;
 }
 
-/** A connection to the directory. */
+/** Watches the directory through one replica at a time. */
 export class DirectoryClient {
-  private readonly known: string[];
+  private readonly addresses: string[];
   private position: number;
   private client: Client | null = null;
-  /** When the replica was dialed, or any bytes came from it. */
-  private lastHeardMs = 0;
-  /** When the replica was dialed, or a whole message came from it. */
+  /** When the replica was dialed or last sent any bytes. */
+  private lastReceivedMs = 0;
+  /** When the replica was dialed or last completed a message. */
   private lastMessageMs = 0;
-  /** When the replica last said that everything before was sent; messages of a connection keep their order. */
+  /**
+   * When the last `alive` notice arrived. Messages of a connection stay in order, so everything sent before it has
+   * arrived.
+   */
   private lastAliveMs = -Infinity;
-  private bytesSeen = 0;
+  private bytesReceived = 0;
   private lastCheckMs = 0;
   private watching = false;
-  /** Replicas that were tried in a row and sent nothing that can be followed. */
-  private triedInVain = 0;
-  private cancelPause: CancelTimer = () => undefined;
+  /** Number of consecutive replicas that could not be followed. */
+  private failedAttempts = 0;
+  private cancelRetry: CancelTimer = () => undefined;
   private readonly cancelCheck: CancelTimer;
 
   constructor(
@@ -67,52 +72,52 @@
     private readonly log: EventLog,
     private readonly handlers: DirectoryClientHandlers,
   ) {
-    this.known = [...seeds];
+    this.addresses = [...seeds];
     this.position = spread(identity.name, Math.max(1, seeds.length));
-    this.cancelCheck = runtime.every(CHECK_MS, () => {
+    this.cancelCheck = runtime.every(CHECK_INTERVAL_MS, () => {
       this.check();
     });
     this.dial();
   }
 
-  /** Whether a replica that hears a leader was heard lately. */
+  /** Whether a replica that has a leader is followed and has sent data recently. */
   get connected(): boolean {
-    return this.watching && this.runtime.nowMs() - this.lastHeardMs < SILENCE_LIMIT_MS;
+    return this.watching && this.runtime.nowMs() - this.lastReceivedMs < SILENCE_TIMEOUT_MS;
   }
 
   /**
-   * Whether the table holds what the replica held a moment ago. While a long change is on its way here, or no replica
-   * is followed, what is missing in the table may exist all the same.
+   * Whether the table is up to date with the replica. If not, because a large change is still being received or no
+   * replica is followed, entries that are missing from the table may still exist.
    */
-  get current(): boolean {
-    return this.runtime.nowMs() - this.lastAliveMs < CURRENT_LIMIT_MS;
+  get isTableCurrent(): boolean {
+    return this.runtime.nowMs() - this.lastAliveMs < MAX_CURRENT_AGE_MS;
   }
 
-  /** Sends to the present replica; false when there is no connection. */
+  /** Sends a request to the present replica; returns false if there is no connection. */
   send(request: DirectoryRequest): boolean {
     return this.client?.send(request) ?? false;
   }
 
-  /** Adds addresses of replicas, from settings that were read again. */
+  /** Adds replica addresses from reloaded settings. */
   addSeeds(seeds: readonly string[]): void {
-    for (const seed of seeds) if (!this.known.includes(seed)) this.known.push(seed);
+    for (const seed of seeds) if (!this.addresses.includes(seed)) this.addresses.push(seed);
   }
 
-  /** Closes for good. */
+  /** Closes the connection and stops dialing. */
   stop(): void {
     this.cancelCheck();
-    this.cancelPause();
+    this.cancelRetry();
     this.client?.stop();
   }
 
   private dial(): void {
     const { runtime } = this;
-    const text = this.known[this.position % this.known.length] ?? '';
+    const text = this.addresses[this.position % this.addresses.length] ?? '';
     const address = parseAddress(text);
     this.watching = false;
-    this.lastHeardMs = runtime.nowMs();
-    this.lastMessageMs = this.lastHeardMs;
-    this.bytesSeen = 0;
+    this.lastReceivedMs = runtime.nowMs();
+    this.lastMessageMs = this.lastReceivedMs;
+    this.bytesReceived = 0;
     if (address === null) return;
     const client = runtime.dial(address, this.identity, {
       onOpen: () => {
@@ -122,56 +127,62 @@
         if (this.client === client) this.receive(message as DirectoryNotice, text);
       },
       onClose: () => {
-        if (this.client === client) this.next('connection lost');
+        if (this.client === client) this.switchReplica('connection lost');
       },
     });
     this.client = client;
   }
 
-  private next(reason: string): void {
+  private switchReplica(reason: string): void {
     if (this.watching) {
-      this.log.event('directory-lost', { replica: this.known[this.position % this.known.length], reason });
+      this.log.event('directory-lost', {
+        replica: this.addresses[this.position % this.addresses.length],
+        reason,
+      });
     }
     this.client?.stop();
     this.client = null;
     this.position += 1;
-    this.triedInVain += 1;
-    if (this.triedInVain < this.known.length) this.dial();
-    else this.dialAfterPause();
+    this.failedAttempts += 1;
+    if (this.failedAttempts < this.addresses.length) this.dial();
+    else this.dialAfterDelay();
   }
 
-  private dialAfterPause(): void {
-    this.triedInVain = 0;
+  private dialAfterDelay(): void {
+    this.failedAttempts = 0;
     this.watching = false;
-    this.lastHeardMs = this.runtime.nowMs();
-    this.lastMessageMs = this.lastHeardMs;
-    this.cancelPause();
-    this.cancelPause = this.runtime.after(ROUND_PAUSE_MS, () => {
+    this.lastReceivedMs = this.runtime.nowMs();
+    this.lastMessageMs = this.lastReceivedMs;
+    this.cancelRetry();
+    this.cancelRetry = this.runtime.after(ROUND_RETRY_DELAY_MS, () => {
       this.dial();
     });
   }
 
-  /** A process that did not run itself cannot tell whether the replica was silent. */
+  /**
+   * Switches replicas on a timeout. A process that was stalled itself cannot tell whether the replica was silent,
+   * so a late check is skipped while a replica is followed.
+   */
   private check(): void {
     const nowMs = this.runtime.nowMs();
-    const stalled = nowMs - this.lastCheckMs > 2 * CHECK_MS;
+    const stalled = nowMs - this.lastCheckMs > 2 * CHECK_INTERVAL_MS;
     this.lastCheckMs = nowMs;
-    this.noteBytes(nowMs);
+    this.recordReceivedBytes(nowMs);
     if (stalled && this.watching) return;
-    if (nowMs - this.lastHeardMs > SILENCE_LIMIT_MS) this.next('silence');
-    else if (nowMs - this.lastMessageMs > MESSAGE_LIMIT_MS) this.next('no whole message');
+    if (nowMs - this.lastReceivedMs > SILENCE_TIMEOUT_MS) this.switchReplica('silence');
+    else if (nowMs - this.lastMessageMs > MESSAGE_TIMEOUT_MS) this.switchReplica('no complete message');
   }
 
-  /** A long message takes its time on a slow link: bytes of it are signs of life. */
-  private noteBytes(nowMs: number): void {
+  /** Counts received bytes as activity: a large message takes long on a slow link. */
+  private recordReceivedBytes(nowMs: number): void {
     const bytes = this.client?.traffic().bytesReceived ?? 0;
-    if (bytes !== this.bytesSeen) this.lastHeardMs = nowMs;
-    this.bytesSeen = bytes;
+    if (bytes !== this.bytesReceived) this.lastReceivedMs = nowMs;
+    this.bytesReceived = bytes;
   }
 
   private receive(notice: DirectoryNotice, address: string): void {
-    this.lastHeardMs = this.runtime.nowMs();
-    this.lastMessageMs = this.lastHeardMs;
+    this.lastReceivedMs = this.runtime.nowMs();
+    this.lastMessageMs = this.lastReceivedMs;
     switch (notice.kind) {
       case 'table':
         if (this.table.replace(notice.index, notice.table)) this.handlers.onTable();
@@ -180,28 +191,31 @@
         if (this.table.apply(notice.index, notice.changes)) this.handlers.onTable();
         break;
       case 'alive':
-        this.lastAliveMs = this.lastHeardMs;
-        this.table.noteHeld(notice.index);
-        this.takeMembers(notice.members);
-        this.becomeConnected(address);
+        this.lastAliveMs = this.lastReceivedMs;
+        this.table.recordHeldIndex(notice.index);
+        this.addMembers(notice.members);
+        this.markConnected(address);
         break;
       case 'watch-refused':
-        this.next(notice.reason);
+        this.switchReplica(notice.reason);
         break;
       default:
         this.handlers.onNotice(notice);
     }
   }
 
-  /** Seeds stay known as well: after a loss of everything they may be all that is left. */
-  private takeMembers(members: readonly string[]): void {
+  /**
+   * Adds the members' addresses. The seeds are kept too: after a total failure they may be the only addresses that
+   * still work.
+   */
+  private addMembers(members: readonly string[]): void {
     this.addSeeds(members);
   }
 
-  private becomeConnected(address: string): void {
+  private markConnected(address: string): void {
     if (this.watching) return;
     this.watching = true;
-    this.triedInVain = 0;
+    this.failedAttempts = 0;
     this.log.event('directory-connected', { replica: address, index: this.table.index });
     this.handlers.onConnected();
   }
--- a/src/sidecar/directory-table.ts
+++ b/src/sidecar/directory-table.ts
@@ -1,4 +1,4 @@
-/** A daemon's copy of the directory: what it routes by. Its index never goes back during a life of the daemon. */
+/** A daemon's copy of the directory state, used for routing. Its index never decreases within a process lifetime. */
 import type { DirectoryChange } from '../directory/directory-commands.js';
 import {
   emptyDirectoryState,
@@ -16,7 +16,7 @@
 import { QuarantineView } from '../quarantine/quarantine-view.js';
 import { RouteTable } from './route-table.js';
 
-/** Limits that hold while the configuration names none. */
+/** Limits in force unless the configuration specifies them. */
 const DEFAULT_LIMITS: LimitsDefinition = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 64 * 1024 * 1024,
@@ -24,15 +24,15 @@
   idleTimeoutMs: 15_000,
 };
 
-/** The copy. */
+/** Local copy of the directory state. */
 export class DirectoryTable {
-  /** Newest index that is in force here; 0 before the first table. */
+  /** Index of the newest table or change applied; 0 before the first table. */
   index = 0;
-  /** Index up to which every change is held here, also where there was none. */
+  /** Index up to which all changes are known to be applied, including indexes without a change to the table. */
   heldIndex = 0;
-  /** Whether the newest news was a change, and not a whole table. */
-  isPatched = false;
-  /** Requests under which back ends have ended. */
+  /** Whether the last update was a change rather than a whole table. */
+  lastUpdateWasIncremental = false;
+  /** Records of requests during which back ends crashed. */
   readonly quarantine = new QuarantineView();
   private state: DirectoryState = emptyDirectoryState();
   private routeTable = new RouteTable([]);
@@ -56,75 +56,78 @@
     return DEFAULT_LIMITS;
   }
 
-  /** Definition of a service, or null. */
+  /** Returns the definition of a service; null if it has none. */
   service(name: string): ServiceDefinition | null {
     return serviceDefinition(this.state.items, name);
   }
 
-  /** Whether the back ends of a zone are to be sent nothing. */
+  /** Whether a zone is evacuated, so that its back ends must not receive requests. */
   isEvacuated(zone: string): boolean {
     return this.state.evacuatedZones.has(zone);
   }
 
-  /** Registered back ends of a service that may be sent requests. */
+  /** Returns the registered back ends of a service outside evacuated zones. */
   instancesOf(service: string): readonly BackendInstance[] {
     return this.byService.get(service) ?? [];
   }
 
-  /** Versions of the software of a service's back ends. */
+  /** Returns the software versions of a service's back ends. */
   versionsOf(service: string): ReadonlySet<string> {
     return new Set(this.instancesOf(service).map(({ version }) => version));
   }
 
-  /** One registered back end. */
+  /** Returns a registered back end. */
   instance(id: string): BackendInstance | undefined {
     return this.state.instances.get(id);
   }
 
-  /** All registered back ends. */
+  /** Returns all registered back ends. */
   instances(): IterableIterator<BackendInstance> {
     return this.state.instances.values();
   }
 
-  /** A life other than `id` that is registered at a daemon, null for none; undefined while no table has come. */
+  /**
+   * Returns an incarnation other than `id` that is registered at a daemon: null if there is none, undefined before
+   * the first table.
+   */
   otherLife(id: string, daemonAddress: string): string | null | undefined {
     if (this.index === 0) return undefined;
-    for (const known of this.instances()) {
-      if (known.daemonAddress === daemonAddress && known.id !== id) return known.id;
+    for (const instance of this.instances()) {
+      if (instance.daemonAddress === daemonAddress && instance.id !== id) return instance.id;
     }
     return null;
   }
 
-  /** Ranges of a keyed service, in the order of keys. */
+  /** Returns the ranges of a keyed service in key order. */
   rangesOf(service: string): readonly KeyRange[] {
     return this.state.ranges.get(service) ?? [];
   }
 
-  /** Takes a whole table; false when it is older than what is in force. */
-  replace(index: number, table: DirectorySnapshot): boolean {
+  /** Replaces the state by a whole table; returns false if it is older than the state in force. */
+  replace(index: number, snapshot: DirectorySnapshot): boolean {
     if (index < this.index) return false;
     this.index = index;
-    this.noteHeld(index);
-    this.isPatched = false;
-    this.state = decodeDirectory(table);
+    this.recordHeldIndex(index);
+    this.lastUpdateWasIncremental = false;
+    this.state = decodeDirectory(snapshot);
     this.quarantine.replace(this.state.crashRecords.values());
     this.rebuildRoutes();
     this.rebuildInstances();
     return true;
   }
 
-  /** Takes changes; false when they are older than what is in force. */
+  /** Applies changes; returns false if they are not newer than the state in force. */
   apply(index: number, changes: readonly DirectoryChange[]): boolean {
     if (index <= this.index) return false;
     this.index = index;
-    this.noteHeld(index);
-    this.isPatched = true;
+    this.recordHeldIndex(index);
+    this.lastUpdateWasIncremental = true;
     for (const change of changes) this.applyChange(change);
     return true;
   }
 
-  /** A replica has sent everything up to an index. */
-  noteHeld(index: number): void {
+  /** Records that a replica has sent all changes up to an index. */
+  recordHeldIndex(index: number): void {
     this.heldIndex = Math.max(this.heldIndex, index);
   }
 
@@ -165,9 +168,9 @@
     const byService = new Map<string, BackendInstance[]>();
     for (const instance of this.state.instances.values()) {
       if (this.isEvacuated(instance.zone)) continue;
-      const known = byService.get(instance.service) ?? [];
-      byService.set(instance.service, known);
-      known.push(instance);
+      const group = byService.get(instance.service) ?? [];
+      byService.set(instance.service, group);
+      group.push(instance);
     }
     this.byService = byService;
   }
--- a/src/sidecar/heartbeat-grants.ts
+++ b/src/sidecar/heartbeat-grants.ts
@@ -1,31 +1,31 @@
 /**
- * Grants keys in the answers to a back end's heartbeats. A range that is to move is left out of an answer; a later
- * heartbeat shows that the back end has let it go.
+ * Grants keys in the answers to a back end's heartbeats. A range that is to move is omitted from the answer; a
+ * later heartbeat shows that the back end has released it.
  */
 import type { KeyRange } from '../directory/directory-state.js';
 import { overlaps, withoutSpan } from '../directory/key-ranges.js';
 import type { BackendHeartbeat, HeartbeatGrant, HeldRange, ReleasedRange } from './backend-report.js';
 import { rangeName, ReleaseReporter, type KeyGrantPorts, type KeyGrants } from './key-grants.js';
 
-/** Least time in ms that is worth granting. */
-const LEAST_HOLD_MS = 300;
+/** Minimum duration of a grant in ms. */
+const MIN_HOLD_MS = 300;
 
-/** Handovers that are kept until their range is reported as released. */
-const KEPT_HANDOVERS = 256;
+/** Maximum number of handovers stored until their ranges are reported as released. */
+const MAX_HANDOVERS = 256;
 
-/** Time in ms for which keys count as held that a back end reports before this daemon knows its registration. */
+/** Time in ms for which keys that a back end reports before its registration is known here count as held. */
 const RECOVERED_HOLD_MS = 4_000;
 
-/** Grants by heartbeat. */
+/** Grants sent in heartbeat answers. */
 export class HeartbeatGrants implements KeyGrants {
   private held: readonly HeldRange[] = [];
   private heldUntilMs = -Infinity;
-  /** The same on the steady clock: until then it may hold them, whatever time may have passed. */
+  /** Deadline on the steady clock, which may be later: the back end may hold the ranges until then. */
   private mayHoldUntilMs = -Infinity;
-  private answeredAny = false;
-  /** Sequence of the first heartbeat whose answer left a moving range out, by the range's name. */
-  private readonly leftOut = new Map<string, number>();
-  /** Newest last. */
+  private hasAnswered = false;
+  /** Sequence of the first heartbeat whose answer omitted a moving range, by range name. */
+  private readonly omittedSince = new Map<string, number>();
+  /** Handovers received, oldest first. */
   private handovers: ReleasedRange[] = [];
   private readonly reporter: ReleaseReporter;
 
@@ -39,31 +39,34 @@
     return this.held.some(({ from, to }) => key >= from && key <= to);
   }
 
-  /** When nothing that was granted can still be held, in ms of the steady clock. */
-  get heldUntil(): number {
+  /** Time after which no granted range can still be held, in ms of the steady clock. */
+  get holdsExpireAtMs(): number {
     return this.mayHoldUntilMs;
   }
 
-  /** Takes what a heartbeat tells of keys. */
-  take(heartbeat: BackendHeartbeat): void {
-    this.handovers = [...this.handovers, ...heartbeat.released].slice(-KEPT_HANDOVERS);
-    for (const range of heartbeat.holds ?? []) this.ports.outstanding.noteSeen(range);
+  /** Processes the held and released ranges of a heartbeat. */
+  recordHeartbeat(heartbeat: BackendHeartbeat): void {
+    this.handovers = [...this.handovers, ...heartbeat.released].slice(-MAX_HANDOVERS);
+    for (const range of heartbeat.holds ?? []) this.ports.outstanding.recordSeenFence(range);
     this.raiseFences();
-    this.recover(heartbeat);
+    this.recoverHeldRanges(heartbeat);
     this.reportReleases(heartbeat);
   }
 
-  /** What the answer to a heartbeat grants, decided when the answer is sent; null renews nothing. */
+  /**
+   * Returns the grant for a heartbeat's answer, as of the time when the answer is sent; null to leave the earlier
+   * grant unrenewed.
+   */
   answer(heartbeat: BackendHeartbeat, arrivedMs: number): HeartbeatGrant | null {
     const { lease, owned, runtime, holdMs } = this.ports;
     if (lease.session === null) return null;
     const remainingMs = Math.min(holdMs, lease.deadlineMs - runtime.nowMs());
-    if (remainingMs < LEAST_HOLD_MS) return null;
-    const mine = owned.list();
-    const kept = mine.filter((range) => !this.leaves(range, heartbeat));
-    this.noteLeftOut(mine, kept, heartbeat.sequence);
-    this.become(kept, arrivedMs + remainingMs);
-    const ranges = kept.map(({ from, to, fence, handover }) => ({ from, to, fence, handover }));
+    if (remainingMs < MIN_HOLD_MS) return null;
+    const ownedRanges = owned.list();
+    const grantedRanges = ownedRanges.filter((range) => !this.mayOmit(range, heartbeat));
+    this.recordOmitted(ownedRanges, grantedRanges, heartbeat.sequence);
+    this.applyGrant(grantedRanges, arrivedMs + remainingMs);
+    const ranges = grantedRanges.map(({ from, to, fence, handover }) => ({ from, to, fence, handover }));
     return { ranges, holdMs: remainingMs };
   }
 
@@ -71,7 +74,7 @@
   tableChanged(): void {
     this.raiseFences();
     const names = new Set(this.ports.owned.list().map(rangeName));
-    for (const name of this.leftOut.keys()) if (!names.has(name)) this.leftOut.delete(name);
+    for (const name of this.omittedSince.keys()) if (!names.has(name)) this.omittedSince.delete(name);
   }
 
   /** See `KeyGrants`. */
@@ -85,15 +88,18 @@
     this.forget();
   }
 
-  /** A grant by call from before the way of granting changed may still be taken: its keys stay until it is refused. */
-  private mayLeave(range: KeyRange): boolean {
-    return range.movingTo !== null && this.ports.outstanding.certaintyOf(range) === 'certain';
+  /**
+   * Whether a range may be released. A grant made by a call, before the grant mode changed, may still be applied;
+   * the keys stay until the back end would refuse it.
+   */
+  private mayRelease(range: KeyRange): boolean {
+    return range.movingTo !== null && this.ports.outstanding.releaseReadiness(range) === 'certain';
   }
 
   private raiseFences(): void {
     const { outstanding, owned } = this.ports;
     for (const range of owned.list()) {
-      const isUncertain = range.movingTo !== null && outstanding.certaintyOf(range) === 'to-be-fenced';
+      const isUncertain = range.movingTo !== null && outstanding.releaseReadiness(range) === 'to-be-fenced';
       if (isUncertain) this.reporter.raiseFence(range);
     }
   }
@@ -102,45 +108,52 @@
     this.held = [];
     this.heldUntilMs = -Infinity;
     this.mayHoldUntilMs = -Infinity;
-    this.answeredAny = false;
-    this.leftOut.clear();
+    this.hasAnswered = false;
+    this.omittedSince.clear();
     this.handovers = [];
     this.reporter.clear();
   }
 
-  private become(ranges: readonly HeldRange[], untilMs: number): void {
+  private applyGrant(ranges: readonly HeldRange[], untilMs: number): void {
     const before = new Set(this.held.map(rangeName));
-    this.answeredAny = true;
+    this.hasAnswered = true;
     this.held = ranges;
     const { runtime } = this.ports;
     this.heldUntilMs = untilMs;
     this.mayHoldUntilMs = runtime.steadyMs() + (untilMs - runtime.nowMs());
-    if (ranges.some((range) => !before.has(rangeName(range)))) this.ports.onGained();
+    if (ranges.some((range) => !before.has(rangeName(range)))) this.ports.onKeysGained();
   }
 
-  /** After a restart of this daemon the back end goes on with what an earlier life of the daemon granted. */
-  private recover(heartbeat: BackendHeartbeat): void {
-    if (this.answeredAny || heartbeat.holds === null || heartbeat.holds.length === 0) return;
+  /**
+   * After a daemon restart, counts the ranges as held that the back end reports and an earlier process of this
+   * daemon granted.
+   */
+  private recoverHeldRanges(heartbeat: BackendHeartbeat): void {
+    if (this.hasAnswered || heartbeat.holds === null || heartbeat.holds.length === 0) return;
     this.held = heartbeat.holds;
     this.heldUntilMs = this.ports.runtime.nowMs() + RECOVERED_HOLD_MS;
     this.mayHoldUntilMs = this.ports.runtime.steadyMs() + RECOVERED_HOLD_MS;
-    this.ports.onGained();
+    this.ports.onKeysGained();
   }
 
   /**
-   * Whether an answer leaves a range out. The back end must have shown it under its present fence: a call of the process
-   * before, from before the way of granting changed, is refused only then.
+   * Whether an answer may omit a range. The back end must have reported the range under its present fence: only
+   * then does it refuse a call that the previous process made before the grant mode changed.
    */
-  private leaves(range: KeyRange, { holds }: BackendHeartbeat): boolean {
-    if (!this.mayLeave(range)) return false;
-    return this.leftOut.has(rangeName(range)) || isShown(range, holds ?? []);
+  private mayOmit(range: KeyRange, { holds }: BackendHeartbeat): boolean {
+    if (!this.mayRelease(range)) return false;
+    return this.omittedSince.has(rangeName(range)) || coversRange(range, holds ?? []);
   }
 
-  private noteLeftOut(mine: readonly KeyRange[], kept: readonly KeyRange[], sequence: number): void {
-    for (const range of mine) {
+  private recordOmitted(
+    ownedRanges: readonly KeyRange[],
+    grantedRanges: readonly KeyRange[],
+    sequence: number,
+  ): void {
+    for (const range of ownedRanges) {
       const name = rangeName(range);
-      if (kept.includes(range)) this.leftOut.delete(name);
-      else if (!this.leftOut.has(name)) this.leftOut.set(name, sequence);
+      if (grantedRanges.includes(range)) this.omittedSince.delete(name);
+      else if (!this.omittedSince.has(name)) this.omittedSince.set(name, sequence);
     }
   }
 
@@ -148,23 +161,23 @@
     const { holds, sequence } = heartbeat;
     if (holds === null) return;
     for (const range of this.ports.owned.list()) {
-      if (!this.mayLeave(range)) continue;
-      const leftOutAt = this.leftOut.get(rangeName(range));
-      const answered = leftOutAt !== undefined && sequence > leftOutAt;
+      if (!this.mayRelease(range)) continue;
+      const omittedAt = this.omittedSince.get(rangeName(range));
+      const answered = omittedAt !== undefined && sequence > omittedAt;
       if (!answered || holds.some((held) => overlaps(held, range))) continue;
       this.reporter.report(range, this.handoverOf(range));
     }
   }
 
-  /** A back end may let go of several ranges at once, as one. */
+  /** Returns the handover data of a range; a back end may release several ranges as one. */
   private handoverOf(range: KeyRange): string {
     const covering = this.handovers.findLast(({ from, to }) => from <= range.from && to >= range.to);
     return covering?.handover ?? '';
   }
 }
 
-/** Whether rows that a back end holds cover a range under its fence. */
-function isShown(range: KeyRange, holds: readonly HeldRange[]): boolean {
+/** Whether the ranges that a back end holds cover a range under its fence. */
+function coversRange(range: KeyRange, holds: readonly HeldRange[]): boolean {
   let missing: KeyRange[] = [range];
   for (const held of holds) {
     if (held.fence === range.fence) missing = missing.flatMap((part) => withoutSpan(part, held));
--- a/src/sidecar/invoked-grants.ts
+++ b/src/sidecar/invoked-grants.ts
@@ -1,6 +1,6 @@
 /**
- * Grants keys by calls to the back end, and takes them back by calls. A call that got no answer may still be taken
- * later, so its time counts as granted although nothing is sent to the back end on the strength of it.
+ * Grants and revokes keys by calls to the back end. A call without an answer may still be applied later, so its
+ * duration counts as granted, but no request is sent to the back end because of it.
  */
 import type { KeyRange } from '../directory/directory-state.js';
 import { overlaps, withoutSpan } from '../directory/key-ranges.js';
@@ -9,74 +9,80 @@
 import type { BackendCalls, GrantResult } from './backend-report.js';
 import { rangeName, ReleaseReporter, type KeyGrantPorts, type KeyGrants } from './key-grants.js';
 
-/** Pause between looks at what is due, in ms. */
-const STEP_MS = 100;
+/** Interval in ms between checks for due grants and releases. */
+const CHECK_INTERVAL_MS = 100;
 
-/** Age at which a grant is renewed, in ms. */
+/** Age in ms at which a grant is renewed. */
 const RENEW_AFTER_MS = 1_500;
 
-/** Least time in ms that is worth granting. */
-const LEAST_HOLD_MS = 300;
+/** Minimum duration of a grant in ms. */
+const MIN_HOLD_MS = 300;
 
-/** Pause between two steps in ms after which another life of the back end may have begun at its address unnoticed. */
-const LONGEST_PAUSE_MS = 500;
+/** Gap in ms between two checks after which another incarnation may have started at the address unnoticed. */
+const MAX_CHECK_GAP_MS = 500;
 
-/** Part of a grant's time for which the back end is trusted to hold it. */
-const TRUSTED_SHARE = 0.95;
+/** Fraction of a grant's duration for which the back end is trusted to hold it. */
+const TRUSTED_HOLD_FRACTION = 0.95;
 
-/** Part by which a back end's clock may stretch a grant, with room for the way. */
-const STRETCH_SHARE = 1.05;
+/**
+ * Factor on a grant's duration after which it has certainly expired: covers a slow clock of the back end and the
+ * network latency.
+ */
+const MAX_HOLD_FACTOR = 1.05;
 
 interface GrantRecord {
   readonly range: KeyRange;
   sentMs: number;
-  /** Until when the back end certainly holds the range. */
+  /** Until when the back end is certain to hold the range. */
   heldUntilMs: number;
-  /** Until when it may hold the range, on the steady clock. */
+  /** Until when the back end may hold the range, on the steady clock. */
   mayHoldUntilMs: number;
-  underWay: boolean;
+  callInFlight: boolean;
   releasing: boolean;
-  /** Whether the back end has refused it for a higher fence: only under a new fence can it be granted. */
+  /**
+   * Whether the back end has refused the grant because it has seen a higher fence; it can be granted only under a
+   * new one.
+   */
   superseded: boolean;
-  /** What the back end left when it released the range; null before that. */
+  /** Handover data of the released range; null before the release. */
   handover: string | null;
 }
 
-/** A grant that is to be sent. */
-interface GrantOrder {
+/** Arguments of a grant call. */
+interface GrantCall {
   readonly range: KeyRange;
   readonly holdMs: number;
-  /** Id of the back end that it is meant for. */
+  /** Id of the back end to which the call is addressed. */
   readonly id: string;
 }
 
-/** Grants by calls. */
+/** Grants made by calls. */
 export class InvokedGrants implements KeyGrants {
   private readonly records = new Map<string, GrantRecord>();
   private readonly reporter: ReleaseReporter;
   private readonly cancelTimer: CancelTimer;
   private life = 0;
-  private steppedMs: number;
-  /** Whether the back end must be asked who it is before anything is granted. */
-  private unconfirmed = false;
-  private confirming = false;
-  /** Newest heartbeat that had been heard when another life was suspected; null while none is. */
-  private doubtedSequence: number | null = null;
-  /** Session whose ranges were first looked at; null before that. */
+  private lastCheckMs: number;
+  /** Whether the back end's identity must be probed before anything is granted. */
+  private needsConfirmation = false;
+  private confirmationInProgress = false;
+  /** Sequence of the newest heartbeat when another incarnation was suspected; null if none is suspected. */
+  private sequenceAtSuspicion: number | null = null;
+  /** Session whose inherited grants were recorded; null before that. */
   private inheritedSession: number | null = null;
 
   constructor(
     private readonly ports: KeyGrantPorts,
     private readonly calls: BackendCalls,
-    /** Asks at the back end's address whether the present life is there. */
+    /** Probes whether the current incarnation is at the back end's address. */
     private readonly isPresent: () => Promise<boolean>,
-    /** Sequence of the newest heartbeat of the present life. */
-    private readonly heardSequence: () => number = () => 0,
+    /** Returns the sequence of the current incarnation's newest heartbeat. */
+    private readonly newestSequence: () => number = () => 0,
   ) {
-    this.steppedMs = ports.runtime.nowMs();
+    this.lastCheckMs = ports.runtime.nowMs();
     this.reporter = new ReleaseReporter(ports);
-    this.cancelTimer = ports.runtime.every(STEP_MS, () => {
-      this.step();
+    this.cancelTimer = ports.runtime.every(CHECK_INTERVAL_MS, () => {
+      this.checkGrants();
     });
   }
 
@@ -92,14 +98,14 @@
     return false;
   }
 
-  /** When nothing that was granted can still be held, in ms of the steady clock. */
-  get heldUntil(): number {
+  /** Time after which no granted range can still be held, in ms of the steady clock. */
+  get holdsExpireAtMs(): number {
     return Math.max(-Infinity, ...[...this.records.values()].map(({ mayHoldUntilMs }) => mayHoldUntilMs));
   }
 
   /** See `KeyGrants`. */
   tableChanged(): void {
-    this.step();
+    this.checkGrants();
   }
 
   /** See `KeyGrants`. */
@@ -109,16 +115,16 @@
     this.reporter.clear();
     this.ports.outstanding.clear();
     this.inheritedSession = null;
-    this.unconfirmed = false;
-    this.doubtedSequence = null;
+    this.needsConfirmation = false;
+    this.sequenceAtSuspicion = null;
   }
 
   /**
-   * Another life may have begun under the same id. It would take a grant that names the id, so nothing is granted before a
-   * later heartbeat of the present life, or the first one of another.
+   * Suspends grants until a later heartbeat of the current incarnation or the first one of another. Another
+   * incarnation may have started under the same id, and would accept a grant that names the id.
    */
-  awaitHeartbeat(): void {
-    this.doubtedSequence = this.heardSequence();
+  suspendUntilHeartbeat(): void {
+    this.sequenceAtSuspicion = this.newestSequence();
   }
 
   /** See `KeyGrants`. */
@@ -126,45 +132,54 @@
     this.cancelTimer();
   }
 
-  private step(): void {
+  private checkGrants(): void {
     const nowMs = this.ports.runtime.nowMs();
-    if (nowMs - this.steppedMs > LONGEST_PAUSE_MS) this.unconfirmed = true;
-    this.steppedMs = nowMs;
-    if (this.unconfirmed) {
-      void this.confirm();
+    if (nowMs - this.lastCheckMs > MAX_CHECK_GAP_MS) this.needsConfirmation = true;
+    this.lastCheckMs = nowMs;
+    if (this.needsConfirmation) {
+      void this.confirmIncarnation();
       return;
     }
-    if (this.doubtedSequence !== null && this.heardSequence() > this.doubtedSequence)
-      this.doubtedSequence = null;
+    if (this.sequenceAtSuspicion !== null && this.newestSequence() > this.sequenceAtSuspicion)
+      this.sequenceAtSuspicion = null;
     const owned = this.ports.owned.list();
-    this.noteInherited(owned);
-    this.forgetPast(owned, this.ports.runtime.steadyMs());
+    this.recordInherited(owned);
+    this.evictExpired(owned, this.ports.runtime.steadyMs());
     for (const range of owned) {
       if (range.movingTo === null) this.grantIfDue(range, nowMs);
       else this.release(range, nowMs);
     }
   }
 
-  /** A back end that began at the address while this daemon stood still must not be given what its forerunner held. */
-  private async confirm(): Promise<void> {
-    if (this.confirming) return;
+  /**
+   * Probes the back end's identity. An incarnation that started while this daemon was stalled must not be granted
+   * what its predecessor held.
+   */
+  private async confirmIncarnation(): Promise<void> {
+    if (this.confirmationInProgress) return;
     const { life } = this;
-    this.confirming = true;
+    this.confirmationInProgress = true;
     const isPresent = await this.isPresent();
-    this.confirming = false;
-    if (isPresent && life === this.life) this.unconfirmed = false;
+    this.confirmationInProgress = false;
+    if (isPresent && life === this.life) this.needsConfirmation = false;
   }
 
-  /** What is owned when a registration is first seen here may have been granted by an earlier life of this daemon. */
-  private noteInherited(owned: readonly KeyRange[]): void {
+  /**
+   * Records the ranges owned when a registration is first seen: an earlier process of this daemon may have granted
+   * them.
+   */
+  private recordInherited(owned: readonly KeyRange[]): void {
     const { session } = this.ports.lease;
     if (session === null || session === this.inheritedSession) return;
     this.inheritedSession = session;
-    for (const range of owned) this.ports.outstanding.inherit(range);
+    for (const range of owned) this.ports.outstanding.recordInherited(range);
   }
 
-  /** A record of a range that was cut covers its parts until they have records of their own. */
-  private forgetPast(owned: readonly KeyRange[], steadyMs: number): void {
+  /**
+   * Removes expired records of ranges that are not owned any more. The record of a range that was split covers its
+   * parts until they have records of their own.
+   */
+  private evictExpired(owned: readonly KeyRange[], steadyMs: number): void {
     const names = new Set(owned.map(rangeName));
     for (const [name, record] of this.records) {
       if (!names.has(name) && steadyMs >= record.mayHoldUntilMs) this.records.delete(name);
@@ -177,53 +192,56 @@
       this.reporter.raiseFence(range);
       return;
     }
-    if (record.releasing) this.takeUpAgain(record);
+    if (record.releasing) this.cancelRelease(record);
     const renewed = nowMs < record.heldUntilMs && nowMs - record.sentMs < RENEW_AFTER_MS;
-    if (record.underWay || renewed) return;
+    if (record.callInFlight || renewed) return;
     const holdMs = Math.min(this.ports.holdMs, this.ports.lease.deadlineMs - nowMs);
     const life = this.ports.instance();
-    if (life === null || holdMs < LEAST_HOLD_MS || this.doubtedSequence !== null) return;
+    if (life === null || holdMs < MIN_HOLD_MS || this.sequenceAtSuspicion !== null) return;
     void this.grant(record, { range, holdMs, id: idOfLife(life) }, nowMs);
   }
 
-  /** A move was called off; the back end may have let go of the range already. */
-  private takeUpAgain(record: GrantRecord): void {
+  /** Resumes a range whose move was cancelled; the back end may have released it already. */
+  private cancelRelease(record: GrantRecord): void {
     record.releasing = false;
     record.handover = null;
     record.heldUntilMs = -Infinity;
   }
 
-  /** The call names the back end: another life that begins at the address takes nothing under its forerunner's fence. */
-  private async grant(record: GrantRecord, { range, holdMs, id }: GrantOrder, nowMs: number): Promise<void> {
+  /**
+   * Calls the back end under its id, so that another incarnation at the address accepts nothing under its
+   * predecessor's fence.
+   */
+  private async grant(record: GrantRecord, { range, holdMs, id }: GrantCall, nowMs: number): Promise<void> {
     const { life } = this;
-    record.underWay = true;
+    record.callInFlight = true;
     record.sentMs = nowMs;
-    const mayHoldUntilMs = this.ports.runtime.steadyMs() + holdMs * STRETCH_SHARE;
+    const mayHoldUntilMs = this.ports.runtime.steadyMs() + holdMs * MAX_HOLD_FACTOR;
     record.mayHoldUntilMs = Math.max(record.mayHoldUntilMs, mayHoldUntilMs);
-    const call = this.ports.outstanding.sent(range, range.movingTo !== null);
+    const call = this.ports.outstanding.recordSent(range, range.movingTo !== null);
     const result = await this.calls.grant(id, range, holdMs);
-    record.underWay = false;
-    this.ports.outstanding.settled(call, range, result);
+    record.callInFlight = false;
+    this.ports.outstanding.recordResult(call, range, result);
     if (life !== this.life) return;
-    this.granted(record, result, nowMs + holdMs * TRUSTED_SHARE);
+    this.granted(record, result, nowMs + holdMs * TRUSTED_HOLD_FRACTION);
   }
 
-  private granted(record: GrantRecord, result: GrantResult, untilMs: number): void {
+  private granted(record: GrantRecord, result: GrantResult, heldUntilMs: number): void {
     if (result === 'granted') {
-      const gained = record.heldUntilMs === -Infinity;
-      record.heldUntilMs = Math.max(record.heldUntilMs, untilMs);
-      if (gained) this.ports.onGained();
+      const isNewlyHeld = record.heldUntilMs === -Infinity;
+      record.heldUntilMs = Math.max(record.heldUntilMs, heldUntilMs);
+      if (isNewlyHeld) this.ports.onKeysGained();
       return;
     }
     if (result === 'superseded') record.superseded = true;
-    if (result === 'misdirected') this.unconfirmed = true;
+    if (result === 'misdirected') this.needsConfirmation = true;
     const { from, to, fence } = record.range;
     const sentAgoMs = Math.round(this.ports.runtime.nowMs() - record.sentMs);
     this.ports.log.event('grant-failed', { service: this.ports.service, from, to, fence, result, sentAgoMs });
   }
 
   private release(range: KeyRange, nowMs: number): void {
-    if (!this.makeCertain(range, nowMs)) return;
+    if (!this.prepareRelease(range, nowMs)) return;
     this.stopAdmission(range);
     const record = this.recordOf(range);
     record.releasing = true;
@@ -231,17 +249,17 @@
       this.reporter.report(range, record.handover);
       return;
     }
-    if (!record.underWay) void this.callRelease(record, range);
+    if (!record.callInFlight) void this.callRelease(record, range);
   }
 
-  /** Whether the range may leave; if not, takes the next step towards that. */
-  private makeCertain(range: KeyRange, nowMs: number): boolean {
+  /** Whether the range may be released; if not, takes the next action towards that. */
+  private prepareRelease(range: KeyRange, nowMs: number): boolean {
     const record = this.recordOf(range);
     if (record.releasing) return true;
-    const certainty = this.ports.outstanding.certaintyOf(range);
-    if (certainty === 'to-be-fenced') this.reporter.raiseFence(range);
-    if (certainty === 'to-be-granted') this.grantIfDue(range, nowMs);
-    return certainty === 'certain';
+    const readiness = this.ports.outstanding.releaseReadiness(range);
+    if (readiness === 'to-be-fenced') this.reporter.raiseFence(range);
+    if (readiness === 'to-be-granted') this.grantIfDue(range, nowMs);
+    return readiness === 'certain';
   }
 
   private async callRelease(record: GrantRecord, range: KeyRange): Promise<void> {
@@ -249,16 +267,19 @@
     const instance = this.ports.instance();
     if (instance === null) return;
     const calledMs = this.ports.runtime.steadyMs();
-    record.underWay = true;
+    record.callInFlight = true;
     const handover = await this.calls.release(idOfLife(instance), range);
-    record.underWay = false;
+    record.callInFlight = false;
     if (life !== this.life || !record.releasing) return;
     const expired = calledMs >= this.mayHoldUntil(range);
     if (handover !== null || expired) record.handover = handover ?? '';
     if (record.handover !== null) this.reporter.report(range, record.handover);
   }
 
-  /** Whatever was granted of its keys counts, also under ranges that have been joined or cut since. */
+  /**
+   * Returns when all grants of a range's keys have expired, including grants of ranges that have been merged or
+   * split since.
+   */
   private mayHoldUntil(range: KeyRange): number {
     let untilMs = -Infinity;
     for (const record of this.records.values()) {
@@ -267,7 +288,10 @@
     return untilMs;
   }
 
-  /** Records of wider ranges, from before a cut, must not count for the keys that are being released. */
+  /**
+   * Stops treating a range as held. Records of wider ranges, from before a split, must not count for keys that are
+   * being released.
+   */
   private stopAdmission(range: KeyRange): void {
     for (const record of this.records.values()) {
       if (record.range.fence !== range.fence || record.releasing) continue;
@@ -282,15 +306,15 @@
     const from = Math.max(range.from, record.range.from);
     const to = Math.min(range.to, record.range.to);
     const leaving = { ...record.range, from, to };
-    this.records.set(rangeName(leaving), { ...record, range: leaving, underWay: false, releasing: true });
-    for (const kept of withoutSpan(record.range, range)) this.keepPart(record, kept);
+    this.records.set(rangeName(leaving), { ...record, range: leaving, callInFlight: false, releasing: true });
+    for (const kept of withoutSpan(record.range, range)) this.recordRemainder(record, kept);
   }
 
-  /** A part of a range that was cut; what may be held of it counts from before the cut as well. */
-  private keepPart(record: GrantRecord, part: KeyRange): void {
+  /** Adds a record for the remaining part of a split range. The part may be held for as long as the whole range. */
+  private recordRemainder(record: GrantRecord, part: KeyRange): void {
     const known = this.records.get(rangeName(part));
     if (known === undefined) {
-      this.records.set(rangeName(part), { ...record, range: part, underWay: false, releasing: false });
+      this.records.set(rangeName(part), { ...record, range: part, callInFlight: false, releasing: false });
       return;
     }
     known.mayHoldUntilMs = Math.max(known.mayHoldUntilMs, record.mayHoldUntilMs);
@@ -305,7 +329,7 @@
       sentMs: -Infinity,
       heldUntilMs: -Infinity,
       mayHoldUntilMs: -Infinity,
-      underWay: false,
+      callInFlight: false,
       releasing: false,
       superseded: false,
       handover: null,
--- a/src/sidecar/key-grants.ts
+++ b/src/sidecar/key-grants.ts
@@ -1,4 +1,4 @@
-/** What both ways of granting keys to a back end have in common. */
+/** Interface and helpers shared by both grant modes. */
 import type { DirectoryRequest } from '../directory/directory-messages.js';
 import type { KeyRange } from '../directory/directory-state.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -8,41 +8,41 @@
 import type { OutstandingGrants } from './outstanding-grants.js';
 import type { OwnedRanges } from './owned-ranges.js';
 
-/** Pause between reports of a release that the directory has not acted on, in ms. */
-const RELEASE_REPORT_MS = 250;
+/** Minimum interval in ms between reports of a release that the directory has not acted on. */
+const REPORT_INTERVAL_MS = 250;
 
-/** Grants to one back end. */
+/** Key grants of one back end. */
 export interface KeyGrants {
-  /** Whether the back end certainly holds the key now. */
+  /** Whether the back end is certain to hold the key now. */
   holds(key: number): boolean;
-  /** The table or the registration has changed. */
+  /** Called when the table or the registration has changed. */
   tableChanged(): void;
-  /** The back end has another life, or is gone. */
+  /** Discards all grants: the back end has a new incarnation or has ended. */
   clear(): void;
   stop(): void;
 }
 
-/** What grants need of their daemon. */
+/** Dependencies of grants on their daemon. */
 export interface KeyGrantPorts {
   readonly runtime: Runtime;
   readonly log: EventLog;
   readonly service: string;
   readonly lease: LeaseKeeper;
   readonly owned: OwnedRanges;
-  /** Longest time for which a back end is granted keys, in ms. */
+  /** Maximum duration of a grant in ms. */
   readonly holdMs: number;
-  /** What the back end may still take, whichever way it was granted. */
+  /** Grants that the back end may still apply, from both grant modes. */
   readonly outstanding: OutstandingGrants;
   readonly instance: () => string | null;
   readonly send: (request: DirectoryRequest) => boolean;
-  /** The back end may hold more keys than before. */
-  readonly onGained: () => void;
+  /** Called when the back end may hold more keys than before. */
+  readonly onKeysGained: () => void;
 }
 
-/** Tells the directory what was done with ranges, again and again until it has acted on that. */
+/** Reports releases and fence requests to the directory, repeatedly until it has acted on them. */
 export class ReleaseReporter {
-  private readonly reported = new Map<string, number>();
-  private readonly raised = new Map<string, number>();
+  private readonly lastReportMs = new Map<string, number>();
+  private readonly lastFenceRequestMs = new Map<string, number>();
 
   constructor(private readonly ports: KeyGrantPorts) {}
 
@@ -50,40 +50,40 @@
   report(range: KeyRange, handover: string): void {
     const key = rangeName(range);
     const nowMs = this.ports.runtime.nowMs();
-    const last = this.reported.get(key);
-    if (last !== undefined && nowMs - last < RELEASE_REPORT_MS) return;
+    const last = this.lastReportMs.get(key);
+    if (last !== undefined && nowMs - last < REPORT_INTERVAL_MS) return;
     const owner = this.ports.instance();
     if (owner === null) return;
     const { from, to, fence } = range;
     const { service } = this.ports;
     if (last === undefined) this.ports.log.event('range-released', { service, from, to, fence, handover });
     if (this.ports.send({ kind: 'released', service, from, to, owner, fence, handover })) {
-      this.reported.set(key, nowMs);
+      this.lastReportMs.set(key, nowMs);
     }
   }
 
-  /** Asks for a higher fence, because grants under the present one may still be on their way. */
+  /** Requests a higher fence, because grants under the present one may still be in flight. */
   raiseFence(range: KeyRange): void {
     const key = rangeName(range);
     const nowMs = this.ports.runtime.nowMs();
-    if (nowMs - (this.raised.get(key) ?? -Infinity) < RELEASE_REPORT_MS) return;
+    if (nowMs - (this.lastFenceRequestMs.get(key) ?? -Infinity) < REPORT_INTERVAL_MS) return;
     const owner = this.ports.instance();
     if (owner === null) return;
     const { from, to, fence } = range;
     const { service } = this.ports;
     this.ports.log.event('fence-raised', { service, from, to, fence });
     if (this.ports.send({ kind: 'raise-fence', service, from, to, owner, fence }))
-      this.raised.set(key, nowMs);
+      this.lastFenceRequestMs.set(key, nowMs);
   }
 
-  /** Forgets everything. */
+  /** Discards the record of earlier reports. */
   clear(): void {
-    this.reported.clear();
-    this.raised.clear();
+    this.lastReportMs.clear();
+    this.lastFenceRequestMs.clear();
   }
 }
 
-/** A name for a range under a fence. */
+/** Returns a unique name for a range under a fence. */
 export function rangeName({ from, to, fence }: HeldRange): string {
   return `${from}-${to}@${fence}`;
 }
--- a/src/sidecar/key-ownership.ts
+++ b/src/sidecar/key-ownership.ts
@@ -1,6 +1,6 @@
 /**
- * The keys of the back end beside a daemon: which it owns, which it certainly holds and which it may still hold, whichever way
- * they are granted.
+ * Key ownership of the local back end: the keys it owns, is certain to hold and may still hold, in either grant
+ * mode.
  */
 import type { DirectoryRequest } from '../directory/directory-messages.js';
 import type { GrantMode } from '../directory/directory-state.js';
@@ -15,13 +15,13 @@
 import { OutstandingGrants } from './outstanding-grants.js';
 import { OwnedRanges } from './owned-ranges.js';
 
-/** Longest time in ms for which a heartbeat's answer waits for keys that are on their way. */
-const ANSWER_WAIT_MS = 700;
+/** Maximum time in ms for which a heartbeat's answer waits for keys that are being moved to the back end. */
+const MAX_ANSWER_WAIT_MS = 700;
 
-/** Time in ms by which a grant may outlast its end here, for clocks that run at different rates. */
-const HOLD_MARGIN_MS = 400;
+/** Time in ms by which a grant may outlast its deadline here, because clocks run at different rates. */
+const CLOCK_DRIFT_MARGIN_MS = 400;
 
-/** What is needed of the daemon. */
+/** Dependencies on the daemon. */
 export interface KeyOwnershipPorts {
   readonly runtime: Runtime;
   readonly log: EventLog;
@@ -30,15 +30,15 @@
   readonly backend: LocalBackend;
   readonly calls: BackendCalls;
   readonly service: string;
-  /** How keys are granted while the configuration does not say. */
-  readonly usualGrantMode: GrantMode;
-  /** Longest time for which a back end is granted keys, in ms. */
+  /** Grant mode used unless the configuration specifies one. */
+  readonly defaultGrantMode: GrantMode;
+  /** Maximum duration of a grant in ms. */
   readonly holdMs: number;
   readonly send: (request: DirectoryRequest) => boolean;
-  /** Asks at the back end's address whether the present life is there. */
+  /** Probes whether the current incarnation is at the back end's address. */
   readonly isPresent: () => Promise<boolean>;
-  /** The back end may hold more keys than before. */
-  readonly onGained: () => void;
+  /** Called when the back end may hold more keys than before. */
+  readonly onKeysGained: () => void;
 }
 
 /** Keys of one back end. */
@@ -46,10 +46,13 @@
   private readonly owned: OwnedRanges;
   private readonly outstanding = new OutstandingGrants();
   private grants: HeartbeatGrants | InvokedGrants;
-  private readonly waiters = new Set<() => void>();
-  /** Since when heartbeats wait for keys and none was answered, in ms; null while none waits. */
-  private awaitedSinceMs: number | null = null;
-  /** When nothing can be held any more that the process before this one granted, or that was granted another way. */
+  private readonly answerWaiters = new Set<() => void>();
+  /** Time in ms since which heartbeats have waited for keys without any being answered; null while none waits. */
+  private waitingSinceMs: number | null = null;
+  /**
+   * Time in ms of the steady clock after which all grants of the previous process and of the other grant mode have
+   * expired.
+   */
   private earlierGrantsEndMs: number;
 
   constructor(private readonly ports: KeyOwnershipPorts) {
@@ -59,112 +62,136 @@
     this.grants = this.makeGrants();
   }
 
-  /** Whether the service is divided by key, as far as the configuration is known. */
+  /** Whether the known configuration defines the service as keyed. */
   get isKeyed(): boolean {
     return this.ports.table.service(this.ports.service)?.keyed === true;
   }
 
-  /** Whether the back end certainly holds nothing any more. */
-  get holdsNothing(): boolean {
-    return this.ports.runtime.steadyMs() > this.mayHoldUntilMs + HOLD_MARGIN_MS;
+  /** Whether the back end is certain to hold no keys any more. */
+  get holdsNoKeys(): boolean {
+    return this.ports.runtime.steadyMs() > this.mayHoldUntilMs + CLOCK_DRIFT_MARGIN_MS;
   }
 
-  /** Whether the back end certainly holds a key now; one of a service without keys holds all. */
+  /** Whether the back end is certain to hold a key now; always true for a service without keys. */
   holds(key: number): boolean {
     return !this.isKeyed || this.grants.holds(key);
   }
 
-  /** Whether the back end owns a key, or will in a moment. */
+  /** Whether the back end owns a key or is about to. */
   owns(key: number): boolean {
-    return this.owned.placeOf(key) === 'here';
+    return this.owned.locationOf(key) === 'here';
   }
 
-  /** Takes what a heartbeat tells of keys. */
-  take(heartbeat: BackendHeartbeat): void {
-    if (this.grants instanceof HeartbeatGrants) this.grants.take(heartbeat);
+  /** Processes the held and released ranges of a heartbeat. */
+  recordHeartbeat(heartbeat: BackendHeartbeat): void {
+    if (this.grants instanceof HeartbeatGrants) this.grants.recordHeartbeat(heartbeat);
     else this.grants.tableChanged();
   }
 
-  /** What the answer to a heartbeat grants, after a wait for keys that are on their way; null renews nothing. */
+  /**
+   * Returns the grant for a heartbeat's answer, after waiting for keys that are being moved to the back end; null
+   * to leave the earlier grant unrenewed.
+   */
   async answer(heartbeat: BackendHeartbeat, arrivedMs: number): Promise<HeartbeatGrant | null> {
     const { grants } = this;
     if (!(grants instanceof HeartbeatGrants)) return null;
     if (heartbeat.condition === 'ready' && this.awaitsKeys) await this.waitForKeys();
     const isNewest = this.ports.backend.heartbeat === heartbeat && this.grants === grants;
     if (!this.isKeyed || !isNewest) return null;
-    this.awaitedSinceMs = null;
+    this.waitingSinceMs = null;
     return grants.answer(heartbeat, arrivedMs);
   }
 
-  /** The table or the registration has changed. */
+  /** Called when the table or the registration has changed. */
   tableChanged(): void {
     this.grants.tableChanged();
-    if (!this.awaitsKeys) for (const done of [...this.waiters]) done();
+    if (!this.awaitsKeys) for (const done of [...this.answerWaiters]) done();
   }
 
-  /** The configuration may name another way of granting. */
-  adoptGrantMode(): void {
-    const present = this.grants instanceof HeartbeatGrants ? 'heartbeat' : 'invoke';
-    if (this.grantMode === present) return;
+  /** Switches to the grant mode of the present configuration. */
+  applyGrantMode(): void {
+    const currentMode = this.grants instanceof HeartbeatGrants ? 'heartbeat' : 'invoke';
+    if (this.grantMode === currentMode) return;
     this.earlierGrantsEndMs = this.mayHoldUntilMs;
     this.grants.stop();
     this.grants = this.makeGrants();
   }
 
-  /** Another life may have begun at the address; those that tell no start go by ids of their own, which grants name. */
-  doubtLife(): void {
+  /**
+   * Called when another incarnation may have started at the address. Only back ends that report a start time may
+   * reuse an id; the others have an id per incarnation, which grants name.
+   */
+  suspectRestart(): void {
     const mayShareId = this.ports.backend.heartbeat !== null && this.ports.backend.heartbeat.bornMs !== null;
-    if (mayShareId && this.grants instanceof InvokedGrants) this.grants.awaitHeartbeat();
+    if (mayShareId && this.grants instanceof InvokedGrants) this.grants.suspendUntilHeartbeat();
   }
 
-  /** The back end has another life, or is gone. */
+  /** Discards all grants: the back end has a new incarnation or has ended. */
   clear(): void {
     this.grants.clear();
   }
 
-  /** Grants no more. */
+  /** Stops granting keys. */
   stop(): void {
     this.grants.stop();
   }
 
   private get grantMode(): GrantMode {
-    return this.ports.table.service(this.ports.service)?.grantMode ?? this.ports.usualGrantMode;
+    return this.ports.table.service(this.ports.service)?.grantMode ?? this.ports.defaultGrantMode;
   }
 
-  /** Taken to hold nothing after a restart, a back end lost its keys to others while it held them. */
+  /**
+   * Latest time until which the back end may hold keys, including grants of the previous process. Without those, a
+   * back end lost its keys to others after a daemon restart while it still held them.
+   */
   private get mayHoldUntilMs(): number {
-    return Math.max(this.earlierGrantsEndMs, this.grants.heldUntil);
+    return Math.max(this.earlierGrantsEndMs, this.grants.holdsExpireAtMs);
   }
 
-  /** A daemon that was started a moment ago may not know yet whether any are on their way. */
+  /** Whether keys may be on their way to this back end. A daemon that has just started does not know yet. */
   private get awaitsKeys(): boolean {
     if (this.ports.table.index === 0) return true;
     return this.isKeyed && (this.ports.lease.session === null || this.owned.awaitsKeys());
   }
 
   private makeGrants(): HeartbeatGrants | InvokedGrants {
-    const { runtime, log, service, lease, backend, holdMs, send, onGained, calls, isPresent } = this.ports;
+    const { runtime, log, service, lease, backend, holdMs, send, onKeysGained, calls, isPresent } =
+      this.ports;
     const { owned, outstanding } = this;
     const instance = (): string | null => backend.life;
-    const ports = { runtime, log, service, lease, owned, holdMs, outstanding, instance, send, onGained };
+    const ports = {
+      runtime,
+      log,
+      service,
+      lease,
+      owned,
+      holdMs,
+      outstanding,
+      instance,
+      send,
+      onKeysGained,
+    };
     if (this.grantMode === 'heartbeat') return new HeartbeatGrants(ports);
     return new InvokedGrants(ports, calls, isPresent, () => backend.heartbeat?.sequence ?? 0);
   }
 
-  /** Heartbeats that follow each other while they wait share one wait: none of them would be answered otherwise. */
+  /**
+   * Waits for keys that are being moved here. Heartbeats that arrive during a wait share its deadline; otherwise
+   * none of them would be answered.
+   */
   private async waitForKeys(): Promise<void> {
     const { runtime } = this.ports;
     const nowMs = runtime.nowMs();
-    this.awaitedSinceMs ??= nowMs;
-    const leftMs = Math.max(0, this.awaitedSinceMs + ANSWER_WAIT_MS - nowMs);
+    this.waitingSinceMs ??= nowMs;
+    const leftMs = Math.max(0, this.waitingSinceMs + MAX_ANSWER_WAIT_MS - nowMs);
     await new Promise<void>((resolve) => {
       const done = (): void => {
         cancel();
-        this.waiters.delete(done);
+        this.answerWaiters.delete(done);
         resolve();
       };
       const cancel = runtime.after(leftMs, done);
-      this.waiters.add(done);
+      this.answerWaiters.add(done);
     });
   }
 }
--- a/src/sidecar/life-check.ts
+++ b/src/sidecar/life-check.ts
@@ -1,76 +1,85 @@
-/** Asks at the back end's address which life is there, where a heartbeat alone cannot tell. */
+/**
+ * Probes the back end's address to determine which incarnation is there, where a heartbeat alone does not show it.
+ */
 import type { BackendLife } from '../model/backend-life.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { BackendCalls, BackendIdentity } from './backend-report.js';
 import type { LocalBackend } from './local-backend.js';
 
-/** Time in ms after its last heartbeat in which a life gives way to another one only if its address says so. */
-const FRESH_LIFE_MS = 1_500;
+/**
+ * Time in ms after its last heartbeat during which the current incarnation is replaced by another only if a probe
+ * confirms the other one.
+ */
+const RECENT_HEARTBEAT_MS = 1_500;
 
-/** What the check needs of its daemon. */
-export interface LifeCheckPorts {
+/** Dependencies on the daemon. */
+export interface IncarnationProbePorts {
   readonly runtime: Runtime;
   readonly backend: LocalBackend;
   readonly calls: BackendCalls;
-  /** Path at which the back end tells who it is; null where it cannot be asked. */
+  /** Returns the path at which the back end reports its identity; null if it cannot be probed. */
   readonly healthPath: () => string | null;
 }
 
-/** The check. */
-export class LifeCheck {
-  constructor(private readonly ports: LifeCheckPorts) {}
+/** Probes the identity and health of the local back end. */
+export class IncarnationProbe {
+  constructor(private readonly ports: IncarnationProbePorts) {}
 
   /**
-   * Whether a life that told about itself may be the one at the address. A heartbeat that was held up may come after its
-   * sender has ended and another life has begun there; taken for news, it would end the registration of the life that is
-   * there. Where the address does not answer, a life that was heard lately stays.
+   * Whether the sender of a heartbeat may be the incarnation at the address. A delayed heartbeat may arrive after
+   * its sender has ended and another incarnation has started; accepting it would end the registration of the
+   * incarnation that is there. If the probe gets no answer, an incarnation with a recent heartbeat stays.
    */
-  async isPresent(life: BackendLife): Promise<boolean> {
+  async isPresent(incarnation: BackendLife): Promise<boolean> {
     const { runtime, backend, calls } = this.ports;
     const path = this.ports.healthPath();
-    if (path === null || backend.knows(life)) return true;
-    const seen = await calls.identify(path);
-    if (seen?.id === undefined || seen.id === null) {
-      return backend.life === null || runtime.nowMs() - backend.lastHeardMs > FRESH_LIFE_MS;
+    if (path === null || backend.hasSeen(incarnation)) return true;
+    const identity = await calls.identify(path);
+    if (identity?.id === undefined || identity.id === null) {
+      return backend.life === null || runtime.nowMs() - backend.lastHeartbeatMs > RECENT_HEARTBEAT_MS;
     }
-    return isThatLife(seen, life);
+    return matchesIncarnation(identity, incarnation);
   }
 
-  /** Whether the life that is known is the one at the address; where nobody can be asked, it is taken to be. */
-  async isKnown(): Promise<boolean> {
+  /** Whether the known incarnation is the one at the address; true if the back end cannot be probed. */
+  async isKnownIncarnationPresent(): Promise<boolean> {
     const { backend, calls } = this.ports;
     const { heartbeat } = backend;
     const path = this.ports.healthPath();
     if (path === null || heartbeat === null) return true;
-    const seen = await calls.identify(path);
-    return seen !== null && isThatLife(seen, heartbeat);
+    const identity = await calls.identify(path);
+    return identity !== null && matchesIncarnation(identity, heartbeat);
   }
 
-  /** Whether the present life is at the address and says that it stays; where nobody can be asked, it is taken to. */
-  async staysThere(): Promise<boolean> {
+  /**
+   * Whether the current incarnation is at the address and reports that it is healthy and not leaving; true if the
+   * back end cannot be probed.
+   */
+  async isCurrentHealthy(): Promise<boolean> {
     const path = this.ports.healthPath();
     if (path === null) return true;
-    const seen = await this.ports.calls.identify(path);
+    const identity = await this.ports.calls.identify(path);
     const { heartbeat } = this.ports.backend;
-    return seen?.isWell === true && heartbeat !== null && isThatLife(seen, heartbeat);
+    return identity?.isWell === true && heartbeat !== null && matchesIncarnation(identity, heartbeat);
   }
 
   /**
-   * Which life says goodbye. One that does not say when it started is taken for the present one of its id, unless an
-   * earlier life had the same id and the address says that the present one is well: the word of the earlier one came late.
+   * Returns the incarnation that a final message comes from. Without a start time it is attributed to the current
+   * incarnation of that id, unless an earlier incarnation had the same id and the probe reports the current one as
+   * healthy: then the message is a delayed one of the earlier incarnation.
    */
-  async saysGoodbye(said: BackendLife): Promise<BackendLife> {
+  async resolveLeaving(reported: BackendLife): Promise<BackendLife> {
     const { backend, calls } = this.ports;
     const { heartbeat } = backend;
-    if (said.bornMs !== null || heartbeat?.id !== said.id) return said;
+    if (reported.bornMs !== null || heartbeat?.id !== reported.id) return reported;
     const path = this.ports.healthPath();
-    if (path === null || !backend.hadOtherLife(said.id)) return heartbeat;
-    const seen = await calls.identify(path);
-    return seen?.isWell === true ? said : heartbeat;
+    if (path === null || !backend.hadEarlierIncarnation(reported.id)) return heartbeat;
+    const identity = await calls.identify(path);
+    return identity?.isWell === true ? reported : heartbeat;
   }
 }
 
-/** Whether what a back end tells of itself fits a life; what it does not tell fits any. */
-function isThatLife(seen: BackendIdentity, { id, bornMs }: BackendLife): boolean {
-  return (seen.id ?? id) === id && (seen.bornMs ?? bornMs) === bornMs;
+/** Whether a reported identity matches an incarnation; fields that are not reported match any value. */
+function matchesIncarnation(identity: BackendIdentity, { id, bornMs }: BackendLife): boolean {
+  return (identity.id ?? id) === id && (identity.bornMs ?? bornMs) === bornMs;
 }
--- a/src/sidecar/local-backend.ts
+++ b/src/sidecar/local-backend.ts
@@ -1,177 +1,188 @@
 /**
- * What a daemon knows of the back end beside it: which life it is in, whether it leaves, and when it was last heard.
- * A daemon that was started anew knows nothing until the next heartbeat, and nothing of what the process before it
- * acknowledged; it takes the least favourable view of both.
+ * State of the local back end: its incarnation, whether it is leaving, and the time of its last heartbeat. A
+ * restarted daemon knows neither the back end until the next heartbeat nor what the previous process acknowledged,
+ * and assumes the worst case for both.
  */
 import { idOfLife, lifeName, type BackendLife } from '../model/backend-life.js';
 import { AcknowledgedLeaves } from './acknowledged-leaves.js';
 import type { BackendHeartbeat } from './backend-report.js';
 
-/** Part of the drain time that is left unused, in ms, for requests that are already on their way. */
+/** Part of the drain time in ms that is reserved for requests already in flight to the back end. */
 const DRAIN_MARGIN_MS = 400;
 
-/** Earlier lives that are remembered, so that their late heartbeats are told apart. */
-const REMEMBERED_LIVES = 64;
+/** Maximum number of past incarnations that are stored to recognize their delayed heartbeats. */
+const MAX_PAST_INCARNATIONS = 64;
 
-/** Time in ms after the start of this process in which what it hears may have been sent to the process before it. */
-const LATE_WORD_MS = 5_000;
+/**
+ * Time in ms after the start of this process during which a received message may have been sent to the previous
+ * process.
+ */
+const LATE_MESSAGE_MS = 5_000;
 
-/** Sequence of the first heartbeat of a life. */
+/** Sequence of an incarnation's first heartbeat. */
 const FIRST_SEQUENCE = 1;
 
-/** Heartbeats that say "ready" after which one of them must have been sent to this process. */
-const READY_WORDS_THAT_TELL = 2;
+/** Number of heartbeats with condition "ready" after which at least one was certainly sent to this process. */
+const MIN_READY_HEARTBEATS = 2;
 
-/** Time in ms without a heartbeat after which a life gives way to one that seems to have begun before it: clocks step. */
-const SILENT_LIFE_MS = 4_000;
+/**
+ * Time in ms without a heartbeat after which an incarnation is replaced by one with an earlier start time: the
+ * machine's wall clock may have been set back.
+ */
+const CLOCK_STEP_SILENCE_MS = 4_000;
 
-/** What a heartbeat was. */
-export type HeartbeatNews = 'new-life' | 'news' | 'stale';
+/** Result of processing a heartbeat: from a new incarnation, a newer one of the current incarnation, or stale. */
+export type HeartbeatOutcome = 'new-life' | 'news' | 'stale';
 
-/** The back end beside a daemon. */
+/** State of the back end beside a daemon. */
 export class LocalBackend {
   private present: BackendHeartbeat | null = null;
-  private readonly past = new Set<string>();
-  private readonly leaves = new AcknowledgedLeaves();
+  private readonly pastIncarnations = new Set<string>();
+  private readonly acknowledgedLeaves = new AcknowledgedLeaves();
   private hasLeft = false;
-  private heardMs = -Infinity;
-  private firstHeardMs = -Infinity;
-  private readyWords = 0;
+  private newestHeartbeatMs = -Infinity;
+  private firstSeenMs = -Infinity;
+  private readyCount = 0;
   private isConfirmed = false;
 
   constructor(
     private readonly drainMs: number,
-    /** When this process started, in ms of the daemon's clock. */
+    /** Start time of this process, in ms of the daemon's clock. */
     private readonly startedMs = -Infinity,
   ) {}
 
-  /** Name of the present life; null while none is known. */
+  /** Name of the current incarnation; null if none is known. */
   get life(): string | null {
     return this.present === null ? null : lifeName(this.present);
   }
 
-  /** Newest heartbeat of the present life. */
+  /** Newest heartbeat of the current incarnation; null if none is known. */
   get heartbeat(): BackendHeartbeat | null {
     return this.present;
   }
 
-  /** When requests to it stop, in ms; infinite while it does not leave. */
+  /** Time in ms after which no requests are sent to the back end; Infinity if it is not leaving. */
   get closesAtMs(): number {
-    return this.leaves.closesAtMs(this.life);
+    return this.acknowledgedLeaves.closesAtMs(this.life);
   }
 
-  /** Whether it said that it leaves. */
+  /** Whether the back end has announced that it leaves. */
   get leaving(): boolean {
     return this.closesAtMs !== Infinity;
   }
 
-  /** Whether it said that it has left; no more heartbeats come. */
+  /** Whether the back end has sent its final message; no more heartbeats follow. */
   get left(): boolean {
     return this.hasLeft;
   }
 
-  /** When it was last heard, in ms. */
-  get lastHeardMs(): number {
-    return this.heardMs;
+  /** Time of the last heartbeat, in ms. */
+  get lastHeartbeatMs(): number {
+    return this.newestHeartbeatMs;
   }
 
-  /** Whether what is known of it was sent to this process, or stands in the directory. */
+  /** Whether the state of the current incarnation is known from messages to this process or from the directory. */
   get confirmed(): boolean {
     return this.isConfirmed;
   }
 
-  /** Whether a heartbeat of this life, or of one after it, was taken. */
-  knows(life: BackendLife): boolean {
-    const name = lifeName(life);
-    return this.life === name || this.past.has(name);
+  /** Whether an incarnation is the current one or a past one. */
+  hasSeen(incarnation: BackendLife): boolean {
+    const name = lifeName(incarnation);
+    return this.life === name || this.pastIncarnations.has(name);
   }
 
-  /** Whether a life of this id came before the present one. */
-  hadOtherLife(id: string): boolean {
-    return [...this.past].some((name) => idOfLife(name) === id);
+  /** Whether an earlier incarnation had this id. */
+  hadEarlierIncarnation(id: string): boolean {
+    return [...this.pastIncarnations].some((name) => idOfLife(name) === id);
   }
 
   /**
-   * A life says that it leaves, and is told that this is known. The drain time counts from the first acknowledgement. Where the process before this one may have given it, nobody
-   * knows when, and the life is closed at once: counted from the first heartbeat after a restart, requests reached back
-   * ends 2,050 to 2,500 ms after the acknowledgement, with a bound of 2,000 ms.
+   * Records the acknowledged leave of an incarnation. The drain time counts from the first acknowledgement. If the
+   * previous process may have given it, its time is unknown and the incarnation is closed at once: when the drain
+   * time was counted from the first heartbeat after a restart, requests reached back ends 2,050 to 2,500 ms after
+   * the acknowledgement, with a limit of 2,000 ms.
    */
-  noteLeave(leaving: BackendLife, nowMs: number): void {
+  recordLeave(leaving: BackendLife, nowMs: number): void {
     const life = lifeName(leaving);
-    const mayBeOld = this.life !== life || !this.isFirstToHear;
-    const leftMs = mayBeOld ? 0 : Math.max(0, this.drainMs - DRAIN_MARGIN_MS);
-    this.leaves.note(life, nowMs + leftMs);
+    const mayBeRepeated = this.life !== life || !this.isFirstRecipient;
+    const remainingMs = mayBeRepeated ? 0 : Math.max(0, this.drainMs - DRAIN_MARGIN_MS);
+    this.acknowledgedLeaves.record(life, nowMs + remainingMs);
   }
 
-  /** Takes a heartbeat. A leave binds from here on, whatever else becomes of the heartbeat: it is acknowledged. */
-  take(heartbeat: BackendHeartbeat, nowMs: number): HeartbeatNews {
+  /** Processes a heartbeat. A leave is binding even if the heartbeat is stale, because it is acknowledged. */
+  recordHeartbeat(heartbeat: BackendHeartbeat, nowMs: number): HeartbeatOutcome {
     const life = lifeName(heartbeat);
-    if (heartbeat.condition === 'draining') this.noteLeave(heartbeat, nowMs);
-    if (this.past.has(life) || this.isOfEarlierLife(heartbeat, nowMs)) return 'stale';
+    if (heartbeat.condition === 'draining') this.recordLeave(heartbeat, nowMs);
+    if (this.pastIncarnations.has(life) || this.isFromEarlierIncarnation(heartbeat, nowMs)) return 'stale';
     const isNew = this.life !== life;
     if (!isNew && heartbeat.sequence <= (this.present?.sequence ?? 0)) return 'stale';
-    if (isNew) this.begin(heartbeat, nowMs);
+    if (isNew) this.startIncarnation(heartbeat, nowMs);
     this.present = heartbeat;
-    this.heardMs = nowMs;
-    if (heartbeat.condition === 'ready') this.readyWords += 1;
-    if (this.readyWords >= READY_WORDS_THAT_TELL) this.isConfirmed = true;
+    this.newestHeartbeatMs = nowMs;
+    if (heartbeat.condition === 'ready') this.readyCount += 1;
+    if (this.readyCount >= MIN_READY_HEARTBEATS) this.isConfirmed = true;
     return isNew ? 'new-life' : 'news';
   }
 
-  /** A life says that it leaves and sends no more heartbeats; late ones of it count no more. */
-  leave(life: BackendLife, nowMs: number): void {
-    const name = lifeName(life);
-    this.noteLeave(life, nowMs);
+  /**
+   * Processes the final message of an incarnation, which sends no more heartbeats; delayed ones are ignored from
+   * now on.
+   */
+  leave(incarnation: BackendLife, nowMs: number): void {
+    const name = lifeName(incarnation);
+    this.recordLeave(incarnation, nowMs);
     if (this.life === name) this.hasLeft = true;
-    else this.remember(name);
+    else this.addPastIncarnation(name);
   }
 
-  /** The directory knows the present life as one that stays. */
+  /** Marks the current incarnation as confirmed: neither the directory nor a probe reports that it leaves. */
   confirm(): void {
     this.isConfirmed = true;
   }
 
-  /** The directory knows that the present life leaves, from the process before this one. */
+  /** Adopts a leave of the current incarnation that the directory reports, recorded by the previous process. */
   adoptLeave(nowMs: number): void {
-    if (this.life !== null && !this.leaving) this.leaves.note(this.life, nowMs);
+    if (this.life !== null && !this.leaving) this.acknowledgedLeaves.record(this.life, nowMs);
   }
 
-  /** It is gone; its late heartbeats count no more. */
+  /** Discards the current incarnation; its delayed heartbeats are ignored from now on. */
   forget(): void {
-    if (this.life !== null) this.remember(this.life);
+    if (this.life !== null) this.addPastIncarnation(this.life);
     this.present = null;
     this.hasLeft = false;
-    this.heardMs = -Infinity;
+    this.newestHeartbeatMs = -Infinity;
     this.isConfirmed = false;
   }
 
-  /** Whether no process before this one can have heard of a leave of the present life. */
-  private get isFirstToHear(): boolean {
-    return this.readyWords >= READY_WORDS_THAT_TELL || this.firstHeardMs - this.startedMs > LATE_WORD_MS;
+  /** Whether the previous process cannot have received a leave of the current incarnation. */
+  private get isFirstRecipient(): boolean {
+    return this.readyCount >= MIN_READY_HEARTBEATS || this.firstSeenMs - this.startedMs > LATE_MESSAGE_MS;
   }
 
-  private isOfEarlierLife({ id, bornMs }: BackendHeartbeat, nowMs: number): boolean {
+  private isFromEarlierIncarnation({ id, bornMs }: BackendHeartbeat, nowMs: number): boolean {
     const { present } = this;
     if (present?.id !== id || present.bornMs === null) return false;
     if (bornMs === null) return true;
-    return bornMs < present.bornMs && nowMs - this.heardMs <= SILENT_LIFE_MS;
+    return bornMs < present.bornMs && nowMs - this.newestHeartbeatMs <= CLOCK_STEP_SILENCE_MS;
   }
 
   /**
-   * Soon after the start of this process a heartbeat may be one that was sent before a leave which the process before
-   * it acknowledged; served on its word, a back end that had left got requests for as long as it was there.
+   * Starts tracking a new incarnation. Shortly after the start of this process, a heartbeat may have been sent
+   * before a leave that the previous process acknowledged, so it does not confirm the incarnation: otherwise, a
+   * back end that had left received requests for as long as its process ran.
    */
-  private begin({ sequence }: BackendHeartbeat, nowMs: number): void {
+  private startIncarnation({ sequence }: BackendHeartbeat, nowMs: number): void {
     this.forget();
-    this.readyWords = 0;
-    this.firstHeardMs = nowMs;
-    this.isConfirmed = sequence === FIRST_SEQUENCE || nowMs - this.startedMs > LATE_WORD_MS;
+    this.readyCount = 0;
+    this.firstSeenMs = nowMs;
+    this.isConfirmed = sequence === FIRST_SEQUENCE || nowMs - this.startedMs > LATE_MESSAGE_MS;
   }
 
-  private remember(life: string): void {
-    this.past.add(life);
-    if (this.past.size <= REMEMBERED_LIVES) return;
-    const [oldest] = this.past;
-    if (oldest !== undefined) this.past.delete(oldest);
+  private addPastIncarnation(name: string): void {
+    this.pastIncarnations.add(name);
+    if (this.pastIncarnations.size <= MAX_PAST_INCARNATIONS) return;
+    const [oldest] = this.pastIncarnations;
+    if (oldest !== undefined) this.pastIncarnations.delete(oldest);
   }
 }
--- a/src/sidecar/owned-ranges.ts
+++ b/src/sidecar/owned-ranges.ts
@@ -1,15 +1,15 @@
-/** The ranges that the directory says the back end beside this daemon owns, and what is on its way to it. */
+/** Ranges that the local back end owns according to the directory, and ranges being moved to it. */
 import { rangeOf } from '../directory/key-ranges.js';
 import type { KeyRange } from '../directory/directory-state.js';
 import type { DirectoryTable } from './directory-table.js';
 import type { LeaseKeeper } from './lease-keeper.js';
 
-/** Where a key is, as seen beside one back end. */
-export type KeyPlace =
-  /** The back end owns it, or will in a moment. */
+/** Location of a key relative to the local back end. */
+export type KeyLocation =
+  /** The back end owns the key or is about to. */
   'here' | 'elsewhere';
 
-/** A view of the table from beside one back end. */
+/** View of the directory table for one back end. */
 export class OwnedRanges {
   constructor(
     private readonly table: DirectoryTable,
@@ -18,7 +18,7 @@
     private readonly instance: () => string | null,
   ) {}
 
-  /** Ranges owned under the present registration. */
+  /** Returns the ranges owned under the present registration. */
   list(): KeyRange[] {
     const { session } = this.lease;
     const id = this.instance();
@@ -28,15 +28,15 @@
       .filter((range) => range.owner === id && range.session === session);
   }
 
-  /** Whether keys are on their way here, or wait for an owner that may be this back end. */
+  /** Whether keys are being moved here, or wait for an owner, which may be this back end. */
   awaitsKeys(): boolean {
     const id = this.instance();
     if (id === null) return false;
     return this.table.rangesOf(this.service).some(({ movingTo, owner }) => movingTo === id || owner === null);
   }
 
-  /** Where a key belongs. */
-  placeOf(key: number): KeyPlace {
+  /** Returns the location of a key. */
+  locationOf(key: number): KeyLocation {
     const id = this.instance();
     const range = rangeOf(this.table.rangesOf(this.service), key);
     if (range === null) return 'here';
@@ -44,7 +44,7 @@
     return range.owner === id ? 'here' : 'elsewhere';
   }
 
-  /** The fence under which a key is owned here; null when it is not. */
+  /** Returns the fence under which a key is owned here; null if it is not. */
   fenceOf(key: number): number | null {
     const { session } = this.lease;
     const range = rangeOf(this.table.rangesOf(this.service), key);
--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -1,6 +1,6 @@
 /**
- * The daemon beside one back end. It takes the requests that begin on its machine, passes them to the daemons beside
- * the back ends that are to run them, and is itself the only way to its own back end.
+ * The daemon beside one back end. Accepts requests from callers on its machine, forwards them to the daemons beside
+ * the back ends that serve them, and is the only path to its own back end.
  */
 import type { BackendInstance } from '../directory/directory-state.js';
 import { LinkPacer } from '../link/link-pacer.js';
@@ -41,43 +41,44 @@
 } from './sidecar-transport.js';
 import { ZoneEvacuation } from './zone-evacuation.js';
 
-/** Network links that carry less than this are slow: an answer may wait there for longer than it is worked on. */
+/** Links with a lower bandwidth are slow: an answer may wait in their send queue longer than its processing takes. */
 const SLOW_LINK_BYTES_PER_MS = 12_500;
 
-/** Pause between looks at the back end's state, in ms. */
-const STEP_MS = 100;
+/** Interval in ms between checks of the back end's state. */
+const CHECK_INTERVAL_MS = 100;
 
-/** Time in ms after the start in which requests wait for the back end to tell about itself. */
-const FIRST_HEARTBEAT_MS = 4_000;
+/** Time in ms after the start during which requests wait for the back end's first heartbeat. */
+const FIRST_HEARTBEAT_WAIT_MS = 4_000;
 
-/** Time in ms in which the last messages of a daemon that stops leave it. */
+/** Time in ms allowed for the last messages to be sent when the daemon stops. */
 const FLUSH_MS = 60;
 
 /**
- * Parts of the grace time at a stop: until the first everything goes on, since callers learn of the stop late; until
- * the second the back end is still sent requests of other daemons; at the last everything ends.
+ * Phases of a shutdown, as fractions of the grace time. Until the first, everything continues, since callers learn
+ * of the shutdown with a delay. Until the second, the back end still receives requests from other daemons. At the
+ * last, everything closes.
  */
-const CLOSING_SHARE = 0.45;
-const BACKEND_CLOSING_SHARE = 0.65;
-const LAST_SHARE = 0.92;
+const CALLERS_CLOSE_FRACTION = 0.45;
+const BACKEND_CLOSE_FRACTION = 0.65;
+const FINAL_CLOSE_FRACTION = 0.92;
 
-/** When to come back after a stop, in ms. */
-const STOPPING_RETRY_MS = 500;
+/** Retry delay in ms given to callers while the daemon is stopping. */
+const STOPPING_RETRY_AFTER_MS = 500;
 
-/** What a sidecar is started with. */
+/** Dependencies and settings of a sidecar. */
 export interface SidecarOptions {
   readonly settings: SidecarSettings;
   readonly token: string;
   readonly runtime: Runtime;
   readonly log: EventLog;
-  /** Calls to the back end, for grants that are not sent in heartbeats. */
+  /** Calls to the back end, for grants that are not sent in heartbeat answers. */
   readonly calls: BackendCalls;
-  /** From 0 to below 1. */
+  /** Returns a random number from 0 (inclusive) to 1 (exclusive). */
   readonly random: () => number;
-  /** Asks whether any process listens at the back end's address. */
+  /** Checks whether any process listens at the back end's address. */
   readonly backendListens: () => Promise<boolean>;
   readonly latencies: Latencies;
-  /** How it meets callers, other daemons and its back end; sockets where it is left out. */
+  /** Connections to callers, other daemons and the back end; defaults to sockets. */
   readonly transport?: SidecarTransport;
 }
 
@@ -86,7 +87,7 @@
   readonly table = new DirectoryTable();
   readonly gateway: BackendGateway;
   readonly backendClient: BackendClient;
-  /** Paces large answers; null where the network link is fast. */
+  /** Paces large answers; null if the network link is fast. */
   private readonly pacer: LinkPacer | null;
   readonly counters = forwarderCounters();
   readonly directory: DirectoryClient;
@@ -102,7 +103,7 @@
   private readonly evacuation: ZoneEvacuation;
   readonly crashes: CrashWatch;
   private readonly chooser: BackendChooser;
-  /** Asks other daemons how busy their back ends are. */
+  /** Probes other daemons for the load of their back ends. */
   readonly prober: BackendProber;
   private readonly peers: PeerDaemons;
   private readonly intake: RequestIntake;
@@ -129,7 +130,7 @@
     const { linkBytesPerMs } = settings;
     this.pacer = linkBytesPerMs < SLOW_LINK_BYTES_PER_MS ? new LinkPacer(linkBytesPerMs, runtime) : null;
     this.backendClient = this.transport.backend(() => {
-      void this.presence.lookAgain();
+      void this.presence.recheckListening();
     });
     this.coldLimit = new ColdStartLimit(settings.coldStartBound, runtime.steadyMs());
     this.evacuation = new ZoneEvacuation(settings.evacuationMs);
@@ -159,7 +160,7 @@
       table: this.table,
       dialect: settings.dialect,
       service: settings.service,
-      tableIsCurrent: () => this.directory.current,
+      tableIsCurrent: () => this.directory.isTableCurrent,
     });
     this.requests = this.makeRequests();
     this.linkServer = this.transport.links({
@@ -170,17 +171,17 @@
     this.callers = this.transport.callers({
       limits: () => this.table.limits,
       closing: () => this.closingConnections,
-      take: (request, sink) => this.takeRequest(request, sink),
+      take: (request, sink) => this.handleRequest(request, sink),
     });
     this.directory = this.makeDirectory();
     this.timers.push(
-      runtime.every(STEP_MS, () => {
-        this.presence.step(this.keys.isKeyed);
+      runtime.every(CHECK_INTERVAL_MS, () => {
+        this.presence.checkRemoved(this.keys.isKeyed);
       }),
     );
   }
 
-  /** Starts to listen. */
+  /** Creates a sidecar and starts listening for other daemons and for callers. */
   static async start(options: SidecarOptions): Promise<Result<SidecarNode, string>> {
     const node = new SidecarNode(options);
     const links = await node.linkServer.listen(options.settings.links);
@@ -190,79 +191,86 @@
     return Ok(node);
   }
 
-  /** Why callers should not come here now; null when they may. */
+  /** Reason why the daemon is not ready for callers; null if it is ready. */
   get notReady(): string | null {
     if (this.stoppingSinceMs !== null) return 'stopping';
     return this.table.configured ? null : 'no configuration is known';
   }
 
-  /** The daemon's clock, in ms. */
+  /** Current time of the daemon's clock, in ms. */
   get nowMs(): number {
     return this.runtime.nowMs();
   }
 
-  /** Time left of the back end's lease, in ms; not above 0 when there is none. */
+  /** Remaining time of the back end's lease, in ms; zero or negative if there is none. */
   get leaseLeftMs(): number {
     return this.lease.deadlineMs - this.runtime.nowMs();
   }
 
-  /** Whether requests of callers, or answers to other daemons, are under way. */
+  /** Whether requests of callers or answers to other daemons are in flight. */
   get busy(): boolean {
     const sends = this.pacer !== null && this.pacer.backlogMs > 0;
     return sends || this.callers.activeRequests > 0 || this.gateway.runningCount > 0;
   }
 
-  /** Takes a heartbeat of the back end; the answer may wait a moment for keys that are on their way. */
+  /**
+   * Processes a heartbeat of the back end. The answer is delayed briefly while keys are being moved to the back
+   * end.
+   */
   async heartbeat(heartbeat: BackendHeartbeat): Promise<HeartbeatGrant | null> {
     const arrivedMs = this.runtime.nowMs();
-    if (!(await this.presence.admits(heartbeat))) return null;
-    const before = this.presentLife();
-    const news = this.presence.take(heartbeat, arrivedMs);
-    if (news === 'new-life' && before !== null) this.crashes.lifeReplaced(before);
-    if (news === 'stale') return null;
-    if (news === 'new-life') this.newLife(heartbeat);
+    if (!(await this.presence.accepts(heartbeat))) return null;
+    const previous = this.currentIncarnation();
+    const outcome = this.presence.recordHeartbeat(heartbeat, arrivedMs);
+    if (outcome === 'new-life' && previous !== null) this.crashes.lifeReplaced(previous);
+    if (outcome === 'stale') return null;
+    if (outcome === 'new-life') this.startIncarnation(heartbeat);
     else this.coldLimit.takeTold(heartbeat.coldLeftMs, this.runtime.steadyMs());
     this.gateway.setSlots(heartbeat.slots);
     this.presence.register();
-    this.keys.take(heartbeat);
+    this.keys.recordHeartbeat(heartbeat);
     this.gateway.reconsider();
     return await this.keys.answer(heartbeat, arrivedMs);
   }
 
-  /** A life of the back end says that it leaves and sends no more heartbeats; what it said binds, also if it is not known. */
-  async leave(said: BackendLife): Promise<void> {
-    await this.presence.leave(said);
+  /**
+   * Processes the final message of an incarnation that leaves and sends no more heartbeats. It is binding even if
+   * that incarnation is unknown here.
+   */
+  async leave(reported: BackendLife): Promise<void> {
+    await this.presence.leave(reported);
     this.gateway.reconsider();
   }
 
-  /** Whether back ends of a service are named here, as far as the configuration is known. */
+  /** Whether a service is known here: it is the back end's own, or the configuration defines it. */
   namesService(service: string): boolean {
     return service === this.settings.service || this.table.service(service) !== null;
   }
 
-  /** Takes over settings that were read again. */
+  /** Applies reloaded settings. */
   reload(seeds: readonly string[]): void {
     this.directory.addSeeds(seeds);
   }
 
-  /** Finishes what runs, within the grace time, and stops. */
+  /** Finishes requests in flight within the grace time, then stops. */
   async stop(): Promise<void> {
     if (this.stoppingSinceMs !== null) return;
     const startMs = this.runtime.nowMs();
     this.stoppingSinceMs = startMs;
     const { graceMs } = this.settings;
-    void this.presence.lookAgain();
-    await this.waitUntil(startMs + graceMs * CLOSING_SHARE, () => false);
+    void this.presence.recheckListening();
+    await this.waitUntil(startMs + graceMs * CALLERS_CLOSE_FRACTION, () => false);
     this.closingConnections = true;
     this.callers.stopListening();
-    await this.waitUntil(startMs + graceMs * LAST_SHARE, () => !this.busy);
-    // A daemon that comes back finds its back end where it was; one whose back end has ended gives its keys up.
+    await this.waitUntil(startMs + graceMs * FINAL_CLOSE_FRACTION, () => !this.busy);
+    // If the back end is still running, a restarted daemon resumes with its registration; if it has ended, its keys
+    // are released now.
     if (this.backend.life !== null && !(await this.options.backendListens())) {
-      this.presence.gone('it ended before its daemon');
+      this.presence.gone('back end ended before its daemon');
       await this.waitUntil(this.runtime.nowMs() + FLUSH_MS, () => false);
     }
     this.close();
-    // The last frames to other daemons are on their way for a moment.
+    // Leaves time for the last frames to reach other daemons.
     await this.waitUntil(this.runtime.nowMs() + FLUSH_MS, () => false);
   }
 
@@ -278,7 +286,7 @@
     this.directory.stop();
   }
 
-  // ---- parts
+  // ---- components
 
   private makeLease(): LeaseKeeper {
     return new LeaseKeeper({
@@ -306,11 +314,11 @@
       backend,
       calls: this.options.calls,
       service: settings.service,
-      usualGrantMode: settings.grantMode,
+      defaultGrantMode: settings.grantMode,
       holdMs: settings.holdMs,
       send: (request) => this.directory.send(request),
-      isPresent: async () => await this.presence.isKnownLife(),
-      onGained: () => {
+      isPresent: async () => await this.presence.isKnownIncarnationPresent(),
+      onKeysGained: () => {
         this.gateway.reconsider();
       },
     });
@@ -324,16 +332,16 @@
       table,
       service: settings.service,
       drainMs: settings.drainMs,
-      silenceMs: settings.holdMs,
+      heartbeatTimeoutMs: settings.holdMs,
       calls: this.options.calls,
       lease: () => this.lease,
       send: (request) => this.directory.send(request),
       listens: this.options.backendListens,
-      holdsNothing: () => this.keys.holdsNothing,
+      holdsNoKeys: () => this.keys.holdsNoKeys,
       onConfirmed: () => {
         this.gateway.reconsider();
       },
-      onGone: () => {
+      onRemoved: () => {
         this.keys.clear();
         this.gateway.reconsider();
       },
@@ -351,9 +359,9 @@
       coldLimit: this.coldLimit,
       guard: this.crashes,
       instance: () => (this.backend.confirmed || this.backend.leaving ? this.backend.life : null),
-      awaitsBackend: () => this.runtime.nowMs() - this.startedMs < FIRST_HEARTBEAT_MS,
+      awaitsBackend: () => this.runtime.nowMs() - this.startedMs < FIRST_HEARTBEAT_WAIT_MS,
       closesAtMs: () => this.closesAtMs(),
-      leaving: () => this.backend.leaving || this.stoppingSinceMs !== null || this.evacuation.standing,
+      leaving: () => this.backend.leaving || this.stoppingSinceMs !== null || this.evacuation.isActive,
       holdsKey: (key) => this.keys.holds(key),
       ownsKey: (key) => this.keys.owns(key),
       onWork: (key, ms) => {
@@ -367,11 +375,11 @@
       runtime: this.runtime,
       log: this.log,
       quarantine: this.table.quarantine,
-      life: () => this.presentLife(),
+      life: () => this.currentIncarnation(),
       listens: this.options.backendListens,
       send: (request) => this.directory.send(request),
       onDoubt: () => {
-        this.keys.doubtLife();
+        this.keys.suspectRestart();
       },
       onPermit: () => {
         this.gateway.suspects.step();
@@ -379,8 +387,8 @@
     });
   }
 
-  /** The life of the back end, as long as it does not leave and this daemon does not stop. */
-  private presentLife(): EndedLife | null {
+  /** The back end's incarnation; null while it is leaving or this daemon is stopping. */
+  private currentIncarnation(): EndedLife | null {
     const { heartbeat } = this.backend;
     if (heartbeat === null || this.backend.leaving || this.stoppingSinceMs !== null) return null;
     const { service, version } = heartbeat;
@@ -435,22 +443,23 @@
     });
   }
 
-  // ---- the back end beside this daemon
+  // ---- the local back end
 
   private closesAtMs(): number {
-    const stopMs = (this.stoppingSinceMs ?? Infinity) + this.settings.graceMs * BACKEND_CLOSING_SHARE;
+    const stopMs = (this.stoppingSinceMs ?? Infinity) + this.settings.graceMs * BACKEND_CLOSE_FRACTION;
     return Math.min(this.backend.closesAtMs, stopMs, this.evacuation.closesAtMs(this.keys.isKeyed));
   }
 
   /**
-   * An evacuation that a whole table brings may have begun long ago. When one ends, the back ends may have become cold
-   * without having told so yet.
+   * Applies a change of the zone's evacuation. One that arrives in a whole table may have begun long ago. When an
+   * evacuation ends, back ends may have become cold without having reported so yet.
    */
-  private adoptEvacuation(): void {
+  private applyEvacuation(): void {
     const zone = this.backend.heartbeat?.zone ?? this.settings.zone;
     const evacuated = this.table.isEvacuated(zone);
-    if (evacuated === this.evacuation.standing) return;
-    if (evacuated) this.evacuation.begin(this.table.isPatched ? this.runtime.nowMs() : -Infinity);
+    if (evacuated === this.evacuation.isActive) return;
+    if (evacuated)
+      this.evacuation.begin(this.table.lastUpdateWasIncremental ? this.runtime.nowMs() : -Infinity);
     else {
       this.evacuation.end();
       this.coldLimit.assumeCold();
@@ -458,14 +467,14 @@
     this.log.event('evacuation', { zone, evacuated });
   }
 
-  private newLife(heartbeat: BackendHeartbeat): void {
+  private startIncarnation(heartbeat: BackendHeartbeat): void {
     const { sequence, slots, coldLeftMs } = heartbeat;
     const { life, confirmed } = this.backend;
     this.log.event('backend-known', { instance: life, sequence, slots, coldLeftMs, confirmed });
     this.coldLimit.startLife(coldLeftMs, this.runtime.steadyMs());
     this.gateway.startLife();
     this.gateway.forecast.pace.forget();
-    this.adoptEvacuation();
+    this.applyEvacuation();
     this.keys.clear();
   }
 
@@ -473,8 +482,8 @@
 
   private tableChanged(): void {
     this.coldLimit.configure(this.table.service(this.settings.service)?.coldStart ?? null);
-    this.adoptEvacuation();
-    this.keys.adoptGrantMode();
+    this.applyEvacuation();
+    this.keys.applyGrantMode();
     this.presence.register();
     this.lease.tableChanged();
     this.keys.tableChanged();
@@ -486,17 +495,17 @@
 
   // ---- callers
 
-  private takeRequest(incoming: IncomingRequest, sink: CallerSink): TakenRequest | OwnAnswer {
+  private handleRequest(incoming: IncomingRequest, sink: CallerSink): TakenRequest | OwnAnswer {
     if (this.closingConnections) {
-      return { statusCode: OWN_STATUS.notRun, reason: 'stopping', retryAfterMs: STOPPING_RETRY_MS };
+      return { statusCode: OWN_STATUS.notRun, reason: 'stopping', retryAfterMs: STOPPING_RETRY_AFTER_MS };
     }
     return this.requests.take(incoming, sink);
   }
 
-  private async waitUntil(untilMs: number, done: () => boolean): Promise<void> {
+  private async waitUntil(untilMs: number, isDone: () => boolean): Promise<void> {
     await new Promise<void>((resolve) => {
-      const cancel = this.runtime.every(STEP_MS / 4, () => {
-        if (this.runtime.nowMs() < untilMs && !done()) return;
+      const cancel = this.runtime.every(CHECK_INTERVAL_MS / 4, () => {
+        if (this.runtime.nowMs() < untilMs && !isDone()) return;
         cancel();
         resolve();
       });
--- a/src/sidecar/sidecar-settings.ts
+++ b/src/sidecar/sidecar-settings.ts
@@ -5,40 +5,40 @@
 import type { HeaderDialect } from './header-dialect.js';
 import type { RetryBudget } from './retry-allowance.js';
 
-/** What a sidecar is told when it starts. */
+/** Settings of one sidecar. */
 export interface SidecarSettings {
-  /** Unique among the daemons of a deployment. */
+  /** Name of the daemon; unique within a deployment. */
   readonly name: string;
   readonly zone: string;
-  /** Where callers on this machine connect, over HTTP. */
+  /** Listen address for HTTP requests of callers on this machine. */
   readonly callers: SocketAddress;
-  /** Where other daemons pass requests on. */
+  /** Listen address for requests forwarded by other daemons. */
   readonly links: SocketAddress;
-  /** Where they reach `links`, which differs behind a relay. */
+  /** Address at which other daemons reach `links`; differs from it behind a relay. */
   readonly advertisedLinks: SocketAddress;
-  /** Local IP address to dial other daemons from; null leaves that to the system. */
+  /** Local IP address for outgoing connections to other daemons; null lets the system choose. */
   readonly dialFrom: string | null;
-  /** Where the back end on this machine listens. */
+  /** Listen address of the back end on this machine. */
   readonly backend: SocketAddress;
-  /** Service of that back end; requests that begin here come from it. */
+  /** Service of that back end; requests received here count as sent by this service. */
   readonly service: string;
-  /** Addresses of directory replicas to begin with. */
+  /** Initial addresses of directory replicas. */
   readonly seeds: readonly string[];
-  /** How keys are granted where the configuration does not say. */
+  /** Grant mode used unless the configuration specifies one. */
   readonly grantMode: GrantMode;
-  /** Longest time for which the back end is granted keys. */
+  /** Maximum duration of a key grant. */
   readonly holdMs: number;
-  /** Time after a back end said that it leaves, in which it may still be sent requests. */
+  /** Time after a back end announces that it leaves during which it may still receive requests. */
   readonly drainMs: number;
-  /** Time that a stop may take. */
+  /** Maximum duration of a shutdown. */
   readonly graceMs: number;
   /** Retry budget of one service, shared by all daemons. */
   readonly retryBudget: RetryBudget;
-  /** By how much the requests to a cold back end may exceed what it bears. */
+  /** How far requests to a cold back end may exceed its cold-start capacity. */
   readonly coldStartBound: ColdStartBound;
-  /** Time after an evacuation was acknowledged in which its back ends may still be sent requests. */
+  /** Time after an evacuation is acknowledged during which its back ends may still receive requests. */
   readonly evacuationMs: number;
   readonly dialect: HeaderDialect;
-  /** What the network link of this machine carries each way, in bytes per ms; infinite where it is not known. */
+  /** Bandwidth of this machine's network link in each direction, in bytes per ms; Infinity if unknown. */
   readonly linkBytesPerMs: number;
 }
--- a/src/sidecar/sidecar-transport.ts
+++ b/src/sidecar/sidecar-transport.ts
@@ -1,6 +1,6 @@
 /**
- * How a sidecar meets its callers, other daemons and its back end: over sockets in a daemon, over simulated ones in a
- * simulation. Everything that is decided stands above it.
+ * Transport between a sidecar and its callers, other daemons and back end: sockets in a daemon, simulated
+ * connections in a simulation. It makes no decisions of its own.
  */
 import { LinkClient, type Link, type LinkClientHandlers, type LinkRoute } from '../link/link-client.js';
 import type { StatusHead } from '../link/link-messages.js';
@@ -13,47 +13,47 @@
 import { CallerServer, type CallerServerPorts } from './caller-server.js';
 import type { SidecarSettings } from './sidecar-settings.js';
 
-/** A listener for callers, as its daemon uses it. */
+/** Listener for callers. */
 export interface CallerListener {
-  /** Requests that have no whole answer yet. */
+  /** Number of requests whose answer is not complete. */
   readonly activeRequests: number;
-  /** Takes over limits that have changed. */
+  /** Applies changed limits. */
   applyLimits(): void;
   /** Starts listening; the error names the address. */
   listen(address: SocketAddress): Promise<Result<void, string>>;
-  /** Takes no more connections, and closes those that no request is on. */
+  /** Stops accepting connections and closes idle ones. */
   stopListening(): void;
   /** Stops listening and closes every connection. */
   close(): void;
 }
 
-/** A listener for other daemons, as its daemon uses it. */
+/** Listener for other daemons. */
 export interface LinkListener {
   /** Starts listening; the error names the address. */
   listen(address: SocketAddress): Promise<Result<void, string>>;
-  /** Stops listening and ends every connection. */
+  /** Stops listening and closes every connection. */
   close(): void;
 }
 
-/** What a listener for other daemons hands on. */
+/** Handlers of a listener for other daemons. */
 export interface LinkListenerPorts {
   readonly take: TakeRequest;
-  /** How busy the back end is, for probes; null while nothing is known of it. */
+  /** Load of the back end, reported to probes; null while it is unknown. */
   readonly status: () => StatusHead | null;
-  /** Paces answers over a slow network link; null where it is fast. */
+  /** Paces answers over a slow network link; null if the link is fast. */
   readonly pacer: LinkPacer | null;
 }
 
-/** The ways in and out of a sidecar. */
+/** Factory of a sidecar's listeners and clients. */
 export interface SidecarTransport {
   callers(ports: CallerServerPorts): CallerListener;
   links(ports: LinkListenerPorts): LinkListener;
   dialLink(route: LinkRoute, handlers: LinkClientHandlers): Link;
-  /** `onRefused`: no process listens at the back end's address. */
+  /** Creates the back end's client; `onRefused` is called when no process listens at the back end's address. */
   backend(onRefused: () => void): BackendClient;
 }
 
-/** The transport of a daemon: TCP and HTTP/1.1. */
+/** Transport of a daemon: TCP and HTTP/1.1. */
 export function socketTransport(settings: SidecarSettings, runtime: Runtime): SidecarTransport {
   const nowMs = (): number => runtime.nowMs();
   return {
--- a/src/sidecar/zone-evacuation.ts
+++ b/src/sidecar/zone-evacuation.ts
@@ -1,35 +1,46 @@
-/** Whether the zone of a daemon's back end is evacuated, and when requests to it stop because of that. */
+/**
+ * Evacuation of the zone of a daemon's back end, and the time at which requests to the back end stop because of it.
+ */
 
-/** Part of the time that an evacuation may take in which keys may still be used where they are, to be handed over. */
-const HANDOVER_SHARE = 0.4;
+/**
+ * Fraction of an evacuation's maximum duration during which keys may still be used at their present owner, for a
+ * handover.
+ */
+const HANDOVER_FRACTION = 0.4;
 
-/** The evacuation of one zone. */
+/** Evacuation state of one zone. */
 export class ZoneEvacuation {
   private sinceMs: number | null = null;
 
   constructor(
-    /** Time in ms after its acknowledgement in which back ends of the zone may still be sent requests. */
-    private readonly boundMs: number,
+    /**
+     * Time in ms after the acknowledgement of an evacuation during which back ends of the zone may still receive
+     * requests.
+     */
+    private readonly maxDurationMs: number,
   ) {}
 
   /** Whether the zone is evacuated. */
-  get standing(): boolean {
+  get isActive(): boolean {
     return this.sinceMs !== null;
   }
 
-  /** It is known since `sinceMs` that the zone is evacuated; of old, where that is not known. */
+  /** Records that the zone is evacuated since `sinceMs`; -Infinity if the time is unknown. */
   begin(sinceMs: number): void {
     this.sinceMs = sinceMs;
   }
 
-  /** The zone is not evacuated any more. */
+  /** Records that the evacuation has ended. */
   end(): void {
     this.sinceMs = null;
   }
 
-  /** When requests stop, in ms; infinite while the zone is not evacuated. Keys need time to be handed over. */
+  /**
+   * Returns the time in ms at which requests stop; Infinity if the zone is not evacuated. A keyed service gets
+   * extra time to hand keys over.
+   */
   closesAtMs(keyed: boolean): number {
-    const handoverMs = keyed ? this.boundMs * HANDOVER_SHARE : 0;
+    const handoverMs = keyed ? this.maxDurationMs * HANDOVER_FRACTION : 0;
     return (this.sinceMs ?? Infinity) + handoverMs;
   }
 }
--- a/test/sidecar/directory-client.test.ts
+++ b/test/sidecar/directory-client.test.ts
@@ -1,4 +1,4 @@
-/** A daemon's connection to the directory, on time and a network that the tests move by hand. */
+/** Tests of a daemon's connection to the directory, with a manual clock and a manual network. */
 import test from 'ava';
 import type { DirectoryNotice } from '../../src/directory/directory-messages.js';
 import type { ClientHandlers, Runtime } from '../../src/runtime/runtime.js';
@@ -10,11 +10,11 @@
 const SEEDS = ['127.0.0.1:1', '127.0.0.2:1'];
 const ALIVE: DirectoryNotice = { kind: 'alive', index: 0, members: [] };
 
-/** Dials in a second while nobody can be followed. */
-const MOST_DIALS_PER_SECOND = 50;
-const LEAST_DIALS_PER_SECOND = 20;
+/** Limits for the number of dials in a second in which no replica can be followed. */
+const MAX_DIALS_PER_SECOND = 50;
+const MIN_DIALS_PER_SECOND = 20;
 
-/** Dialed connections; bytes and messages arrive when a test says so. */
+/** Simulated network: counts dials, and delivers bytes and messages on request of a test. */
 class Network {
   readonly time = new ManualTime();
   dials = 0;
@@ -48,13 +48,13 @@
     this.handlers?.onMessage(notice);
   }
 
-  /** The replica that was dialed last refuses to be watched. */
+  /** Makes the replica that was dialed last refuse to be watched. */
   refuse(): void {
     this.handlers?.onMessage({ kind: 'watch-refused', reason: 'no-leader' });
   }
 
-  /** Bytes of a frame that stays unfinished arrive for a while. */
-  trickle(ms: number): void {
+  /** Delivers bytes of an incomplete frame for `ms`. */
+  receivePartialFrame(ms: number): void {
     for (let passed = 0; passed < ms; passed += 100) {
       this.bytesReceived += 56_000;
       this.time.pass(100);
@@ -62,49 +62,49 @@
   }
 }
 
-test('a replica is not left while bytes of a long message arrive from it', (t) => {
+test('the client stays with a replica while bytes of a long message arrive from it', (t) => {
   const network = new Network();
   network.deliver(ALIVE);
-  network.trickle(3_000);
+  network.receivePartialFrame(3_000);
   t.is(network.dials, 1);
 });
 
-test('a replica that sends nothing is left', (t) => {
+test('the client leaves a replica that sends nothing', (t) => {
   const network = new Network();
   network.deliver(ALIVE);
   network.time.pass(1_200);
   t.is(network.dials, 2);
 });
 
-test('a replica whose bytes never make a message is left', (t) => {
+test('the client leaves a replica whose bytes never complete a message', (t) => {
   const network = new Network();
   network.deliver(ALIVE);
-  network.trickle(7_000);
+  network.receivePartialFrame(7_000);
   t.is(network.dials, 2);
 });
 
-test('the table counts as current only while the replica says so', (t) => {
+test('the table counts as current only while the replica sends alive notices', (t) => {
   const network = new Network();
-  t.false(network.client.current);
+  t.false(network.client.isTableCurrent);
   network.deliver(ALIVE);
-  t.true(network.client.current);
-  network.trickle(1_000);
-  t.false(network.client.current);
+  t.true(network.client.isTableCurrent);
+  network.receivePartialFrame(1_000);
+  t.false(network.client.isTableCurrent);
   network.deliver(ALIVE);
-  t.true(network.client.current);
+  t.true(network.client.isTableCurrent);
 });
 
-test('a daemon that finds no replica to follow dials each of them a few times a second, and not as fast as it can', (t) => {
+test('a daemon without a replica to follow dials at a limited rate, but keeps dialing', (t) => {
   const network = new Network();
   for (let passed = 0; passed < 1_000; passed += 1) {
     network.refuse();
     network.time.pass(1);
   }
-  t.true(network.dials <= MOST_DIALS_PER_SECOND, `${network.dials} dials`);
-  t.true(network.dials >= LEAST_DIALS_PER_SECOND, `${network.dials} dials`);
+  t.true(network.dials <= MAX_DIALS_PER_SECOND, `${network.dials} dials`);
+  t.true(network.dials >= MIN_DIALS_PER_SECOND, `${network.dials} dials`);
 });
 
-test('the next replica is dialed at once where another has not been tried', (t) => {
+test('the next replica is dialed at once if it has not been tried', (t) => {
   const network = new Network();
   network.deliver(ALIVE);
   network.refuse();
--- a/test/sidecar/grants.test.ts
+++ b/test/sidecar/grants.test.ts
@@ -1,4 +1,4 @@
-/** Both ways of granting keys to a back end. */
+/** Tests of both grant modes: grants in heartbeat answers and grants by calls. */
 import test from 'ava';
 import type { DirectoryRequest } from '../../src/directory/directory-messages.js';
 import type { KeyRange } from '../../src/directory/directory-state.js';
@@ -41,7 +41,7 @@
         this.sent.push(request);
         return true;
       },
-      onGained: () => undefined,
+      onKeysGained: () => undefined,
     };
   }
 }
@@ -53,7 +53,7 @@
   return { ...common, id: 'me', bornMs: null, sequence, coldLeftMs: 0, holds: [], released: [], ...parts };
 }
 
-test('heartbeats: what is owned is granted, for no longer than the lease has left', (t) => {
+test('heartbeats: owned ranges are granted for at most the remaining lease', (t) => {
   const world = new World();
   const grants = new HeartbeatGrants(world.ports());
   world.deadlineMs = world.time.nowMs + 2_000;
@@ -61,10 +61,10 @@
   t.deepEqual(answer, { ranges: [{ from: 0, to: 99, fence: 5, handover: '' }], holdMs: 2_000 });
   t.true(grants.holds(50));
   world.time.pass(2_000);
-  t.false(grants.holds(50), 'after its time nothing is sent there');
+  t.false(grants.holds(50), 'the grant has expired');
 });
 
-test('heartbeats: without a lease nothing is renewed', (t) => {
+test('heartbeats: nothing is renewed without a lease', (t) => {
   const world = new World();
   const grants = new HeartbeatGrants(world.ports());
   world.session = null;
@@ -74,37 +74,40 @@
   t.is(grants.answer(heartbeat(2), 0), null);
 });
 
-test('heartbeats: a moving range is reported as released only after the back end has let it go', (t) => {
+test('heartbeats: a moving range is reported as released only after the back end has released it', (t) => {
   const world = new World();
   const grants = new HeartbeatGrants(world.ports());
   const held = { holds: [{ from: 0, to: 99, fence: 5 }] };
-  grants.take(heartbeat(1, held));
+  grants.recordHeartbeat(heartbeat(1, held));
   grants.answer(heartbeat(1, held), world.time.nowMs);
   world.ranges = [range(0, 49, 5, 'other'), range(50, 99, 5)];
   const rest = [{ from: 50, to: 99, fence: 5, handover: '' }];
   t.deepEqual(grants.answer(heartbeat(2, held), world.time.nowMs)?.ranges, rest);
   t.false(grants.holds(20));
   t.true(grants.holds(70));
-  grants.take(heartbeat(3, held));
-  t.deepEqual(world.sent, [], 'it still works on the keys');
-  const let_go = { holds: [{ from: 50, to: 99, fence: 5 }], released: [{ from: 0, to: 49, handover: 'h' }] };
-  grants.take(heartbeat(4, let_go));
+  grants.recordHeartbeat(heartbeat(3, held));
+  t.deepEqual(world.sent, [], 'the back end still holds the keys');
+  const released = {
+    holds: [{ from: 50, to: 99, fence: 5 }],
+    released: [{ from: 0, to: 49, handover: 'h' }],
+  };
+  grants.recordHeartbeat(heartbeat(4, released));
   t.like(world.sent, [{ kind: 'released', from: 0, to: 49, fence: 5, handover: 'h', owner: 'me' }]);
 });
 
-test('heartbeats: ranges that were let go as one share what was left for the next holder', (t) => {
+test('heartbeats: ranges that were released as one share their handover data', (t) => {
   const world = new World();
   const grants = new HeartbeatGrants(world.ports());
   world.ranges = [range(0, 49, 5, 'other'), range(50, 99, 5, 'third')];
   grants.answer(heartbeat(1, { holds: [{ from: 0, to: 99, fence: 5 }] }), world.time.nowMs);
-  grants.take(heartbeat(2, { released: [{ from: 0, to: 99, handover: 'h' }] }));
+  grants.recordHeartbeat(heartbeat(2, { released: [{ from: 0, to: 99, handover: 'h' }] }));
   t.deepEqual(
     world.sent.map((request) => (request.kind === 'released' ? request.handover : '')),
     ['h', 'h'],
   );
 });
 
-test('heartbeats: a range is left out once the back end has shown it under its present fence, in parts or whole', (t) => {
+test('heartbeats: a range is omitted once the back end has reported it under its present fence, in parts or whole', (t) => {
   const world = new World();
   const grants = new HeartbeatGrants(world.ports());
   world.ranges = [range(0, 99, 8, 'other')];
@@ -117,30 +120,30 @@
     ],
   };
   t.deepEqual(grants.answer(heartbeat(2, parts), world.time.nowMs)?.ranges, []);
-  t.deepEqual(grants.answer(heartbeat(3), world.time.nowMs)?.ranges, [], 'it has let go of it');
+  t.deepEqual(grants.answer(heartbeat(3), world.time.nowMs)?.ranges, [], 'the back end has released it');
 });
 
-test('heartbeats: a late heartbeat from before the answer proves nothing', (t) => {
+test('heartbeats: a delayed heartbeat from before the answer does not prove a release', (t) => {
   const world = new World();
   const grants = new HeartbeatGrants(world.ports());
   world.ranges = [range(0, 99, 5, 'other')];
   grants.answer(heartbeat(7, { holds: [{ from: 0, to: 99, fence: 5 }] }), world.time.nowMs);
-  grants.take(heartbeat(6, { holds: [] }));
+  grants.recordHeartbeat(heartbeat(6, { holds: [] }));
   t.deepEqual(world.sent, []);
 });
 
-test('heartbeats: after a restart of the daemon the back end goes on with what it holds', (t) => {
+test('heartbeats: after a daemon restart the ranges that the back end reports count as held', (t) => {
   const world = new World();
   const grants = new HeartbeatGrants(world.ports());
   world.session = null;
-  grants.take(heartbeat(9, { holds: [{ from: 0, to: 9, fence: 3 }] }));
+  grants.recordHeartbeat(heartbeat(9, { holds: [{ from: 0, to: 9, fence: 3 }] }));
   t.true(grants.holds(5));
   t.false(grants.holds(50));
 });
 
 class Calls {
   readonly log: string[] = [];
-  /** Id of the back end that is called. */
+  /** Id of the back end at the called address. */
   id = 'me';
   result: GrantResult = 'granted';
   handover: string | null = 'h';
@@ -166,7 +169,7 @@
   }
 }
 
-/** Grants of a back end that was registered while it owned nothing. */
+/** Returns grants of a back end that was registered while it owned nothing. */
 function invokedGrants(world: World, calls: Calls): InvokedGrants {
   const { ranges } = world;
   world.ranges = [];
@@ -194,7 +197,7 @@
   grants.stop();
 });
 
-test('calls: a grant without answer is not relied on, and is sent again', async (t) => {
+test('calls: a range does not count as held while its grant is unanswered, and the grant is repeated', async (t) => {
   const world = new World();
   const calls = new Calls();
   calls.result = 'unanswered';
@@ -202,13 +205,13 @@
   grants.tableChanged();
   await settle();
   t.false(grants.holds(5));
-  t.true(grants.heldUntil > world.time.nowMs, 'the back end may have taken it');
+  t.true(grants.holdsExpireAtMs > world.time.nowMs, 'the back end may have applied it');
   world.time.pass(100);
   t.is(calls.log.length, 2);
   grants.stop();
 });
 
-test('calls: part of a range is released, and the rest stays held', async (t) => {
+test('calls: a part of a range is released and the rest stays held', async (t) => {
   const world = new World();
   const calls = new Calls();
   const grants = invokedGrants(world, calls);
@@ -216,14 +219,14 @@
   await settle();
   world.ranges = [range(0, 49, 5, 'other'), range(50, 99, 5)];
   grants.tableChanged();
-  t.false(grants.holds(20), 'nothing more is sent there while it is being released');
+  t.false(grants.holds(20), 'a range that is being released does not count as held');
   t.true(grants.holds(70));
   await settle();
   t.like(world.sent, [{ kind: 'released', from: 0, to: 49, fence: 5, handover: 'h' }]);
   grants.stop();
 });
 
-test('calls: a release without answer is not reported while the back end may hold the range', async (t) => {
+test('calls: an unanswered release is not reported while the back end may hold the range', async (t) => {
   const world = new World();
   const calls = new Calls();
   const grants = invokedGrants(world, calls);
@@ -242,7 +245,7 @@
   grants.stop();
 });
 
-test('calls: keys leave only once the back end refuses a grant that it may still take', async (t) => {
+test('calls: keys are released only once the back end would refuse outstanding grants', async (t) => {
   const world = new World();
   const calls = new Calls();
   const grants = invokedGrants(world, calls);
@@ -267,7 +270,7 @@
   grants.stop();
 });
 
-test('calls: what an earlier life of the daemon may have granted is fenced before it leaves', async (t) => {
+test('calls: a range that an earlier process of the daemon may have granted is fenced before its release', async (t) => {
   const world = new World();
   const calls = new Calls();
   world.ranges = [range(0, 99, 5, 'other')];
@@ -279,7 +282,7 @@
   grants.stop();
 });
 
-test('calls: a move that is called off is granted anew before the range counts as held', async (t) => {
+test('calls: after a cancelled move the range counts as held only once it is granted again', async (t) => {
   const world = new World();
   const calls = new Calls();
   const grants = invokedGrants(world, calls);
@@ -296,7 +299,7 @@
   grants.stop();
 });
 
-test('calls: a grant that was refused for its fence is not sent again under the same one', async (t) => {
+test('calls: a grant that was refused for its fence is not repeated under the same fence', async (t) => {
   const world = new World();
   const calls = new Calls();
   calls.result = 'superseded';
@@ -319,7 +322,7 @@
   grants.stop();
 });
 
-test('calls: a release without answer of ranges that were joined is not reported while the back end may hold them', async (t) => {
+test('calls: an unanswered release of merged ranges is not reported while the back end may hold them', async (t) => {
   const world = new World();
   const calls = new Calls();
   world.ranges = [range(0, 49, 5), range(50, 99, 5)];
@@ -337,7 +340,7 @@
   grants.stop();
 });
 
-test('a grant by call that got no answer keeps its keys back when they are granted in heartbeats from then on', async (t) => {
+test('after a change to heartbeat grants, an unanswered grant call delays the release of its keys', async (t) => {
   const world = new World();
   const calls = new Calls();
   const invoked = invokedGrants(world, calls);
@@ -348,20 +351,20 @@
   const grants = new HeartbeatGrants(world.ports());
   world.ranges = [range(0, 99, 5, 'other')];
   grants.answer(heartbeat(1), world.time.nowMs);
-  grants.take(heartbeat(2));
+  grants.recordHeartbeat(heartbeat(2));
   t.like(world.sent, [{ kind: 'raise-fence', from: 0, to: 99, fence: 5 }]);
   world.ranges = [range(0, 99, 8, 'other')];
   const granted = { ranges: [{ from: 0, to: 99, fence: 8, handover: '' }] };
   t.like(grants.answer(heartbeat(2), world.time.nowMs), granted, 'the back end must see the higher fence');
   world.sent.length = 0;
   const held = { holds: [{ from: 0, to: 99, fence: 8 }] };
-  grants.take(heartbeat(3, held));
+  grants.recordHeartbeat(heartbeat(3, held));
   t.like(grants.answer(heartbeat(3, held), world.time.nowMs), { ranges: [] });
-  grants.take(heartbeat(4));
+  grants.recordHeartbeat(heartbeat(4));
   t.like(world.sent, [{ kind: 'released', from: 0, to: 99, fence: 8 }]);
 });
 
-test('calls: where another life is at the address nothing is granted until the present one is there', async (t) => {
+test('calls: nothing is granted while another incarnation is at the address', async (t) => {
   const world = new World();
   const calls = new Calls();
   const { ranges } = world;
--- a/test/sidecar/lease-keeper.test.ts
+++ b/test/sidecar/lease-keeper.test.ts
@@ -1,4 +1,4 @@
-/** When a daemon renews its lease, and when it registers its back end anew. */
+/** Tests of when a daemon renews its lease and registers its back end again. */
 import test from 'ava';
 import type { DirectoryRequest } from '../../src/directory/directory-messages.js';
 import { LeaseKeeper } from '../../src/sidecar/lease-keeper.js';
@@ -47,7 +47,7 @@
   { pressed: false, renewals: 3 },
   { pressed: true, renewals: 7 },
 ]) {
-  test(`load is reported ${renewals} times in 2.1 s ${pressed ? 'while requests wait' : 'as a rule'}`, (t) => {
+  test(`load is reported ${renewals} times in 2.1 s ${pressed ? 'while requests are queued' : 'without queued requests'}`, (t) => {
     const world = new World();
     world.register();
     world.pressed = pressed;
@@ -57,7 +57,7 @@
   });
 }
 
-test('a lease waits until the table holds what the directory held when it gave it', (t) => {
+test('a lease is activated only once the table is as recent as the lease', (t) => {
   const world = new World();
   world.heldIndex = 4;
   world.keeper.update(BACKEND);
@@ -73,11 +73,11 @@
   world.keeper.receive({ ...lease, kind: 'renewed', index: 9 });
   world.heldIndex = 6;
   world.keeper.tableChanged();
-  t.is(world.keeper.session, 2, 'the first answer was after whatever an earlier process did');
+  t.is(world.keeper.session, 2, 'the index of the first answer covers all actions of earlier processes');
   world.keeper.stop();
 });
 
-test('a lease that waits is forgotten with the life that it is for', (t) => {
+test('a pending lease is discarded when its incarnation is replaced', (t) => {
   const world = new World();
   world.heldIndex = 4;
   world.keeper.update(BACKEND);
--- a/test/sidecar/local-backend.test.ts
+++ b/test/sidecar/local-backend.test.ts
@@ -1,7 +1,7 @@
-/** What a daemon knows of the back end beside it. */
+/** Tests of a daemon's state of its local back end. */
 import test from 'ava';
 import type { BackendHeartbeat } from '../../src/sidecar/backend-report.js';
-import { LocalBackend, type HeartbeatNews } from '../../src/sidecar/local-backend.js';
+import { LocalBackend, type HeartbeatOutcome } from '../../src/sidecar/local-backend.js';
 
 function heartbeat(
   id: string,
@@ -23,40 +23,40 @@
   };
 }
 
-test('late heartbeats of the present life and of earlier lives change nothing', (t) => {
+test('delayed heartbeats of the current incarnation and of past ones are stale', (t) => {
   const backend = new LocalBackend(2_000);
-  t.is(backend.take(heartbeat('one', 5), 0), 'new-life');
-  t.is(backend.take(heartbeat('one', 4), 1), 'stale');
-  t.is(backend.take(heartbeat('two', 1), 2), 'new-life');
-  t.is(backend.take(heartbeat('one', 6), 3), 'stale');
+  t.is(backend.recordHeartbeat(heartbeat('one', 5), 0), 'new-life');
+  t.is(backend.recordHeartbeat(heartbeat('one', 4), 1), 'stale');
+  t.is(backend.recordHeartbeat(heartbeat('two', 1), 2), 'new-life');
+  t.is(backend.recordHeartbeat(heartbeat('one', 6), 3), 'stale');
   t.is(backend.life, 'two');
 });
 
-test('a back end that leaves is sent nothing well before its drain time is over, also when it says ready again', (t) => {
+test('requests to a leaving back end stop before its drain time is over, even if it reports ready again', (t) => {
   const backend = new LocalBackend(2_000);
-  backend.take(heartbeat('one', 1), 0);
+  backend.recordHeartbeat(heartbeat('one', 1), 0);
   t.is(backend.closesAtMs, Infinity);
-  backend.take(heartbeat('one', 2, 'draining'), 1_000);
+  backend.recordHeartbeat(heartbeat('one', 2, 'draining'), 1_000);
   t.true(backend.closesAtMs < 3_000);
-  backend.take(heartbeat('one', 3), 1_500);
+  backend.recordHeartbeat(heartbeat('one', 3), 1_500);
   t.true(backend.leaving);
-  backend.take(heartbeat('two', 1), 1_600);
-  t.false(backend.leaving, 'another life does not leave');
+  backend.recordHeartbeat(heartbeat('two', 1), 1_600);
+  t.false(backend.leaving, 'another incarnation is not leaving');
 });
 
-interface Word {
+interface ReceivedHeartbeat {
   readonly id: string;
   readonly bornMs: number | null;
   readonly sequence: number;
   readonly atMs: number;
-  readonly news: HeartbeatNews;
+  readonly news: HeartbeatOutcome;
 }
 
-/** Heartbeats of lives that go by the same id, in the order in which they arrive. */
-const SAME_ID: readonly { readonly name: string; readonly words: readonly Word[] }[] = [
+/** Heartbeats of incarnations with the same id, in order of arrival. */
+const SAME_ID: readonly { readonly name: string; readonly heartbeats: readonly ReceivedHeartbeat[] }[] = [
   {
-    name: 'a new life counts anew',
-    words: [
+    name: 'a new incarnation starts its own sequence',
+    heartbeats: [
       { id: 'one', bornMs: 100, sequence: 7, atMs: 0, news: 'new-life' },
       { id: 'one', bornMs: 200, sequence: 1, atMs: 900, news: 'new-life' },
       { id: 'one', bornMs: 200, sequence: 2, atMs: 1_400, news: 'news' },
@@ -64,42 +64,42 @@
     ],
   },
   {
-    name: 'an earlier life that was never heard is late',
-    words: [
+    name: 'heartbeats of an earlier incarnation that was never seen are stale',
+    heartbeats: [
       { id: 'one', bornMs: 200, sequence: 3, atMs: 0, news: 'new-life' },
       { id: 'one', bornMs: 100, sequence: 9, atMs: 600, news: 'stale' },
       { id: 'one', bornMs: 200, sequence: 4, atMs: 900, news: 'news' },
     ],
   },
   {
-    name: 'a life that seems to have begun earlier, after a silence, is one whose clock was set back',
-    words: [
+    name: 'after a silence, an earlier start time is a new incarnation whose clock was set back',
+    heartbeats: [
       { id: 'one', bornMs: 20_000, sequence: 3, atMs: 0, news: 'new-life' },
       { id: 'one', bornMs: 10_000, sequence: 1, atMs: 5_000, news: 'new-life' },
     ],
   },
   {
-    name: 'whoever does not tell when it started is not the life that does',
-    words: [
+    name: 'a heartbeat without a start time is not from an incarnation that reports one',
+    heartbeats: [
       { id: 'one', bornMs: 100, sequence: 3, atMs: 0, news: 'new-life' },
       { id: 'one', bornMs: null, sequence: 9, atMs: 300, news: 'stale' },
     ],
   },
 ];
 
-for (const { name, words } of SAME_ID) {
+for (const { name, heartbeats } of SAME_ID) {
   test(`same id: ${name}`, (t) => {
     const backend = new LocalBackend(2_000);
-    for (const { id, bornMs, sequence, atMs, news } of words) {
-      t.is(backend.take({ ...heartbeat(id, sequence), bornMs }, atMs), news);
+    for (const { id, bornMs, sequence, atMs, news } of heartbeats) {
+      t.is(backend.recordHeartbeat({ ...heartbeat(id, sequence), bornMs }, atMs), news);
     }
   });
 }
 
-test('a leave binds its own life only, also when that life is not the present one', (t) => {
+test('a leave affects only its own incarnation, even if that is not the current one', (t) => {
   const backend = new LocalBackend(2_000);
-  backend.take({ ...heartbeat('one', 3), bornMs: 200 }, 0);
-  backend.take({ ...heartbeat('one', 9, 'draining'), bornMs: 100 }, 100);
+  backend.recordHeartbeat({ ...heartbeat('one', 3), bornMs: 200 }, 0);
+  backend.recordHeartbeat({ ...heartbeat('one', 9, 'draining'), bornMs: 100 }, 100);
   backend.leave({ id: 'one', bornMs: 100 }, 200);
   t.false(backend.leaving);
   backend.leave({ id: 'one', bornMs: 200 }, 300);
@@ -107,19 +107,19 @@
   t.true(backend.left);
 });
 
-test('soon after its start a daemon does not know when a leave was first acknowledged, and closes at once', (t) => {
+test('shortly after its start a daemon stops requests to a leaving back end at once, since the first acknowledgement is unknown', (t) => {
   const backend = new LocalBackend(2_000, 0);
-  backend.take(heartbeat('one', 7), 100);
+  backend.recordHeartbeat(heartbeat('one', 7), 100);
   t.false(backend.confirmed);
-  backend.take(heartbeat('one', 8, 'draining'), 600);
+  backend.recordHeartbeat(heartbeat('one', 8, 'draining'), 600);
   t.is(backend.closesAtMs, 600);
 });
 
-test('a daemon that has heard a back end say "ready" twice counts from its leave', (t) => {
+test('after two "ready" heartbeats the drain time counts from the leave', (t) => {
   const backend = new LocalBackend(2_000, 0);
-  backend.take(heartbeat('one', 7), 100);
-  backend.take(heartbeat('one', 8), 600);
+  backend.recordHeartbeat(heartbeat('one', 7), 100);
+  backend.recordHeartbeat(heartbeat('one', 8), 600);
   t.true(backend.confirmed);
-  backend.take(heartbeat('one', 9, 'draining'), 1_100);
+  backend.recordHeartbeat(heartbeat('one', 9, 'draining'), 1_100);
   t.true(backend.closesAtMs > 2_000 && backend.closesAtMs < 3_100);
 });
--- a/test/sidecar/manual-runtime.ts
+++ b/test/sidecar/manual-runtime.ts
@@ -1,4 +1,4 @@
-/** A runtime whose clock and timers move only when a test says so. */
+/** Runtime with a manual clock: time and timers advance only on request of a test. */
 import type { Runtime } from '../../src/runtime/runtime.js';
 
 interface Timer {
@@ -7,12 +7,12 @@
   readonly callback: () => void;
 }
 
-/** Time that tests move by hand. */
+/** Manual clock with timers. */
 export class ManualTime {
   nowMs = 1_000;
   private timers: Timer[] = [];
 
-  /** A runtime on this time; it has no network. */
+  /** Runtime on this clock, without a network. */
   readonly runtime: Runtime = {
     nowMs: () => this.nowMs,
     steadyMs: () => this.nowMs,
@@ -31,7 +31,7 @@
     },
   };
 
-  /** Lets time pass; timers fire in their order. */
+  /** Advances the clock by `ms`, firing due timers in order of their deadlines. */
   pass(ms: number): void {
     const endMs = this.nowMs + ms;
     for (;;) {
--- a/test/sidecar/sidecar-node.test.ts
+++ b/test/sidecar/sidecar-node.test.ts
@@ -1,4 +1,4 @@
-/** A sidecar between a directory and a back end, on time that the tests move by hand. */
+/** Tests of a sidecar between a directory and a back end, with a manual clock. */
 import test from 'ava';
 import { request } from 'undici';
 import { freePort } from '../loopback.js';
@@ -25,9 +25,9 @@
   readonly time = new ManualTime();
   readonly sent: DirectoryRequest[] = [];
   listens = true;
-  /** What the back end's address says of who is there; null for no answer. */
+  /** Answer of the back end's address to an identity probe; null for no answer. */
   identity: BackendIdentity | null = null;
-  /** Zones that are evacuated in every table from now on. */
+  /** Evacuated zones in the tables sent from now on. */
   evacuatedZones: string[] = [];
   callersPort = 0;
   private handlers: ClientHandlers | null = null;
@@ -147,7 +147,9 @@
   return { from, to, owner, session: SESSION, fence: 3, movingTo, handover: '' };
 }
 
-async function owner(world: World): Promise<{ node: SidecarNode; grant: HeartbeatGrant | null }> {
+async function startWithOwnedKeys(
+  world: World,
+): Promise<{ node: SidecarNode; grant: HeartbeatGrant | null }> {
   const node = await world.start();
   world.table([range(0, 65_535, 'one')]);
   const first = node.heartbeat(heartbeat(1));
@@ -156,31 +158,31 @@
   return { node, grant: await first };
 }
 
-test('a back end is registered with its first heartbeat, and granted what it owns', async (t) => {
+test('a back end is registered with its first heartbeat and granted the keys it owns', async (t) => {
   const world = new World();
-  const { node, grant } = await owner(world);
+  const { node, grant } = await startWithOwnedKeys(world);
   t.true(world.kinds().includes('register'));
   t.deepEqual(grant?.ranges, [{ from: 0, to: 65_535, fence: 3, handover: '' }]);
   t.is(node.notReady, null);
   await stop(world, node);
 });
 
-test('the answer to a heartbeat waits a moment for keys that are on their way', async (t) => {
+test('the answer to a heartbeat waits briefly for keys that are being moved to the back end', async (t) => {
   const world = new World();
-  const { node } = await owner(world);
+  const { node } = await startWithOwnedKeys(world);
   world.table([range(0, 99, 'other', 'one'), range(100, 65_535, 'one')]);
   const answering = node.heartbeat(heartbeat(3));
   await settle();
   world.table([range(0, 99, 'one'), range(100, 65_535, 'one')]);
   t.is((await answering)?.ranges.length, 2);
   const late = node.heartbeat(heartbeat(4));
-  t.truthy(await late, 'nothing is on its way any more');
+  t.truthy(await late, 'no move is pending');
   await stop(world, node);
 });
 
-test('heartbeats that come faster than an answer waits are answered while keys stay on their way', async (t) => {
+test('heartbeats at shorter intervals than the maximum wait are answered while a move is pending', async (t) => {
   const world = new World();
-  const { node } = await owner(world);
+  const { node } = await startWithOwnedKeys(world);
   world.table([range(0, 99, 'other', 'one'), range(100, 65_535, 'one')]);
   const answers: (HeartbeatGrant | null)[] = [];
   for (let sequence = 3; sequence < 7; sequence += 1) {
@@ -191,52 +193,52 @@
   await stop(world, node);
 });
 
-test('a back end that left gives its keys up as soon as no process listens there', async (t) => {
+test('the keys of a back end that left are released once no process listens at its address', async (t) => {
   const world = new World();
-  const { node } = await owner(world);
+  const { node } = await startWithOwnedKeys(world);
   await node.leave({ id: 'one', bornMs: null });
   world.listens = true;
   await pass(world, 2_500);
-  t.false(world.kinds().includes('unregister'), 'it still runs, and holds its keys');
+  t.false(world.kinds().includes('unregister'), 'the back end still runs and holds its keys');
   world.listens = false;
   await pass(world, 1_000);
   t.true(world.kinds().includes('unregister'));
   await stop(world, node);
 });
 
-test('a daemon that stops gives the keys up only if its back end has ended', async (t) => {
+test('a stopping daemon releases the keys only if its back end has ended', async (t) => {
   for (const listens of [true, false]) {
     const world = new World();
-    const { node } = await owner(world);
+    const { node } = await startWithOwnedKeys(world);
     world.listens = listens;
     await stop(world, node);
     t.is(world.kinds().includes('unregister'), !listens);
   }
 });
 
-test('a daemon that stops is not ready at once', async (t) => {
+test('a stopping daemon is not ready from the start of the shutdown', async (t) => {
   const world = new World();
-  const { node } = await owner(world);
+  const { node } = await startWithOwnedKeys(world);
   const stopping = node.stop();
   t.is(node.notReady, 'stopping');
   await pass(world, 7_000);
   await stopping;
 });
 
-test('a route that is missing is unknown only while the table is current', async (t) => {
+test('a missing route is answered as unknown only while the table is current', async (t) => {
   const world = new World();
   const node = await world.start();
-  const ask = async (): Promise<number> => {
+  const requestMissingRoute = async (): Promise<number> => {
     const { statusCode, body } = await request(`http://127.0.0.1:${world.callersPort}/new/`);
     await body.dump();
     return statusCode;
   };
   world.table([range(0, 65_535, 'one')]);
-  t.is(await ask(), 503, 'the table may be an old one');
+  t.is(await requestMissingRoute(), 503, 'the table may be outdated');
   world.notify({ kind: 'alive', index: 1, members: [] });
-  t.is(await ask(), 404);
+  t.is(await requestMissingRoute(), 404);
   world.time.pass(700);
-  t.is(await ask(), 503, 'a change may be on its way');
+  t.is(await requestMissingRoute(), 503, 'a change may be in flight');
   await stop(world, node);
 });
 
@@ -253,17 +255,17 @@
   await stopping;
 }
 
-test('a heartbeat that was held up changes nothing when its sender has ended and another life is there', async (t) => {
+test('a delayed heartbeat is ignored if its sender has ended and another incarnation is at the address', async (t) => {
   const world = new World();
-  const { node } = await owner(world);
+  const { node } = await startWithOwnedKeys(world);
   world.identity = { id: 'one', bornMs: null, isWell: true, coldLeftMs: 0 };
   t.is(await node.heartbeat({ ...heartbeat(90), id: 'zero' }), null);
   t.is(node.gateway.status()?.instance, 'one');
-  t.truthy(await node.heartbeat(heartbeat(2)), 'the life that is there goes on');
+  t.truthy(await node.heartbeat(heartbeat(2)), 'the current incarnation continues');
   await stop(world, node);
 });
 
-test('a daemon that was started anew takes no late heartbeat of a past life for the present one', async (t) => {
+test('a restarted daemon does not accept a delayed heartbeat of a past incarnation', async (t) => {
   const world = new World();
   const node = await world.start();
   world.table([range(0, 65_535, 'one')]);
@@ -274,9 +276,9 @@
   await stop(world, node);
 });
 
-test('where the address does not say who is there, a life that was heard lately stays, a silent one gives way', async (t) => {
+test('without an identity answer, an incarnation with a recent heartbeat stays and a silent one is replaced', async (t) => {
   const world = new World();
-  const { node } = await owner(world);
+  const { node } = await startWithOwnedKeys(world);
   const other = { ...heartbeat(1), id: 'two' };
   await node.heartbeat(other);
   t.is(node.gateway.status()?.instance, 'one');
@@ -289,7 +291,7 @@
   await stop(world, node);
 });
 
-/** What becomes of a request for a key that is sent straight to the gateway. */
+/** Reason for which the gateway refuses a request for a key. */
 function refusalAt(node: SidecarNode): string {
   let refused = 'nothing';
   const reply = {
@@ -319,23 +321,23 @@
   return refused;
 }
 
-test('an evacuation leaves time to hand keys over, and is over well within its bound', async (t) => {
+test('an evacuation leaves time for handovers and stops requests within its time limit', async (t) => {
   const world = new World();
-  const { node } = await owner(world);
+  const { node } = await startWithOwnedKeys(world);
   world.change([{ kind: 'evacuation', zone: 'other', evacuated: true }]);
   t.true(node.gateway.status()?.accepting);
   world.change([{ kind: 'evacuation', zone: 'z', evacuated: true }]);
-  t.false(node.gateway.status()?.accepting, 'others send it nothing from now on');
+  t.false(node.gateway.status()?.accepting, 'other daemons send no more requests');
   t.not(refusalAt(node), 'leaving');
   world.time.pass(2_100);
   t.is(refusalAt(node), 'leaving');
   await stop(world, node);
 });
 
-test('an evacuation that a whole table tells of holds at once; after its end a back end may be cold', async (t) => {
+test('an evacuation from a whole table takes effect at once; after its end the back end counts as cold', async (t) => {
   const world = new World();
   world.evacuatedZones = ['z'];
-  const { node } = await owner(world);
+  const { node } = await startWithOwnedKeys(world);
   t.is(refusalAt(node), 'leaving');
   t.is(node.gateway.status()?.coldStart, null);
   world.change([{ kind: 'evacuation', zone: 'z', evacuated: false }]);
