--- a/lab/sim/directory-world.ts
+++ b/lab/sim/directory-world.ts
@@ -254,11 +254,11 @@
       runtime,
       log: SILENT_EVENT_LOG,
       daemonAddress: `${name}:1`,
-      otherLife: (id) => table.otherLife(id, `${name}:1`),
+      otherIncarnation: (id) => table.otherIncarnation(id, `${name}:1`),
       heldIndex: () => table.heldIndex,
       send: (request) => client.send(request),
       takeLoad: () => [],
-      pressed: () => false,
+      hasQueuedRequests: () => false,
       onChange: () => undefined,
     });
     lease.update({ id: name, service: SERVICE, zone: 'zone', slots: 1, condition: 'ready', version: 'v1' });
--- a/lab/sim/fleet/fleet-machine.ts
+++ b/lab/sim/fleet/fleet-machine.ts
@@ -237,7 +237,7 @@
         await this.afterWay(() => {
           if (this.backend === null) return null;
           const { id, draining, saidGoodbye } = this.backend;
-          return { id, bornMs: null, isWell: !draining && !saidGoodbye, coldLeftMs: 0 };
+          return { id, bornMs: null, isHealthy: !draining && !saidGoodbye, coldLeftMs: 0 };
         }),
       grant: async (id, range, holdMs) =>
         await this.order<GrantResult>('not-sent', 'unanswered', (backend) => {
--- a/src/sidecar/backend-report.ts
+++ b/src/sidecar/backend-report.ts
@@ -62,7 +62,7 @@
   /** Start time in ms of its machine's wall clock; null if not reported. */
   readonly bornMs: number | null;
   /** Whether the back end reports that it is healthy and not leaving. */
-  readonly isWell: boolean;
+  readonly isHealthy: boolean;
   /** Time in ms for which the back end stays cold; null if not reported. */
   readonly coldLeftMs: number | null;
 }
--- a/src/sidecar/directory-table.ts
+++ b/src/sidecar/directory-table.ts
@@ -90,7 +90,7 @@
    * Returns an incarnation other than `id` that is registered at a daemon: null if there is none, undefined before
    * the first table.
    */
-  otherLife(id: string, daemonAddress: string): string | null | undefined {
+  otherIncarnation(id: string, daemonAddress: string): string | null | undefined {
     if (this.index === 0) return undefined;
     for (const instance of this.instances()) {
       if (instance.daemonAddress === daemonAddress && instance.id !== id) return instance.id;
--- a/src/sidecar/lease-keeper.ts
+++ b/src/sidecar/lease-keeper.ts
@@ -36,14 +36,14 @@
    * Returns another incarnation that is registered at this daemon: null if there is none, undefined before the
    * first table.
    */
-  readonly otherLife: (id: string) => string | null | undefined;
+  readonly otherIncarnation: (id: string) => string | null | undefined;
   /** Returns the index up to which all changes are known to be applied to the table. */
   readonly heldIndex: () => number;
   readonly send: (request: DirectoryRequest) => boolean;
   /** Returns and resets the slot time used since the last report, by bucket of keys. */
   readonly takeLoad: () => (readonly [number, number])[];
   /** Whether requests are queued for slots of the back end. */
-  readonly pressed: () => boolean;
+  readonly hasQueuedRequests: () => boolean;
   readonly onChange: () => void;
 }
 
@@ -174,7 +174,7 @@
   }
 
   private register(backend: RegisteredBackend, nowMs: number): void {
-    const replaces = this.ports.otherLife(backend.id);
+    const replaces = this.ports.otherIncarnation(backend.id);
     if (replaces === undefined) return;
     this.nextSendMs = nowMs + REGISTER_RETRY_INTERVAL_MS;
     const instance = { ...backend, daemonAddress: this.ports.daemonAddress };
@@ -186,7 +186,7 @@
     const nowMs = ports.runtime.nowMs();
     if (backend === null) return;
     this.activatePendingLease();
-    const hasQueue = this.currentSession !== null && policyIsOn('quick-balance') && ports.pressed();
+    const hasQueue = this.currentSession !== null && policyIsOn('quick-balance') && ports.hasQueuedRequests();
     if (nowMs < this.nextSendMs - (hasQueue ? RENEW_INTERVAL_MS - RENEW_INTERVAL_WITH_QUEUE_MS : 0)) return;
     if (this.currentSession === null || this.nextSendMs === 0) {
       this.register(backend, nowMs);
--- a/src/sidecar/life-check.ts
+++ b/src/sidecar/life-check.ts
@@ -60,7 +60,7 @@
     if (path === null) return true;
     const identity = await this.ports.calls.identify(path);
     const { heartbeat } = this.ports.backend;
-    return identity?.isWell === true && heartbeat !== null && matchesIncarnation(identity, heartbeat);
+    return identity?.isHealthy === true && heartbeat !== null && matchesIncarnation(identity, heartbeat);
   }
 
   /**
@@ -75,7 +75,7 @@
     const path = this.ports.healthPath();
     if (path === null || !backend.hadEarlierIncarnation(reported.id)) return heartbeat;
     const identity = await calls.identify(path);
-    return identity?.isWell === true ? reported : heartbeat;
+    return identity?.isHealthy === true ? reported : heartbeat;
   }
 }
 
--- a/src/sidecar/sidecar-metrics.ts
+++ b/src/sidecar/sidecar-metrics.ts
@@ -90,5 +90,7 @@
     Number(node.directory.connected),
   );
   metrics.value('lease_left_ms', 'Remaining time of the lease in ms', () => Math.max(0, node.leaseLeftMs));
-  metrics.value('ready', '1 while the daemon is ready for callers', () => Number(node.notReady === null));
+  metrics.value('ready', '1 while the daemon is ready for callers', () =>
+    Number(node.notReadyReason === null),
+  );
 }
--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -192,7 +192,7 @@
   }
 
   /** Reason why the daemon is not ready for callers; null if it is ready. */
-  get notReady(): string | null {
+  get notReadyReason(): string | null {
     if (this.stoppingSinceMs !== null) return 'stopping';
     return this.table.configured ? null : 'no configuration is known';
   }
@@ -293,11 +293,11 @@
       runtime: this.runtime,
       log: this.log,
       daemonAddress: formatAddress(this.settings.advertisedLinks),
-      otherLife: (id) => this.table.otherLife(id, formatAddress(this.settings.advertisedLinks)),
+      otherIncarnation: (id) => this.table.otherIncarnation(id, formatAddress(this.settings.advertisedLinks)),
       heldIndex: () => this.table.heldIndex,
       send: (request) => this.directory.send(request),
       takeLoad: () => this.load.take(),
-      pressed: () => this.gateway.admission.waitingCount > 0,
+      hasQueuedRequests: () => this.gateway.admission.waitingCount > 0,
       onChange: () => {
         this.tableChanged();
       },
--- a/test/sidecar/lease-keeper.test.ts
+++ b/test/sidecar/lease-keeper.test.ts
@@ -17,20 +17,20 @@
 class World {
   readonly time = new ManualTime();
   readonly sent: DirectoryRequest[] = [];
-  pressed = false;
+  hasQueue = false;
   heldIndex = 1;
   readonly keeper = new LeaseKeeper({
     runtime: this.time.runtime,
     log: SILENT_EVENT_LOG,
     daemonAddress: 'h:1',
-    otherLife: () => null,
+    otherIncarnation: () => null,
     heldIndex: () => this.heldIndex,
     send: (request) => {
       this.sent.push(request);
       return true;
     },
     takeLoad: () => [],
-    pressed: () => this.pressed,
+    hasQueuedRequests: () => this.hasQueue,
     onChange: () => undefined,
   });
 
@@ -43,14 +43,14 @@
   }
 }
 
-for (const { pressed, renewals } of [
-  { pressed: false, renewals: 3 },
-  { pressed: true, renewals: 7 },
+for (const { hasQueue, renewals } of [
+  { hasQueue: false, renewals: 3 },
+  { hasQueue: true, renewals: 7 },
 ]) {
-  test(`load is reported ${renewals} times in 2.1 s ${pressed ? 'while requests are queued' : 'without queued requests'}`, (t) => {
+  test(`load is reported ${renewals} times in 2.1 s ${hasQueue ? 'while requests are queued' : 'without queued requests'}`, (t) => {
     const world = new World();
     world.register();
-    world.pressed = pressed;
+    world.hasQueue = hasQueue;
     world.time.pass(2_100);
     t.is(world.sent.filter(({ kind }) => kind === 'renew').length, renewals);
     world.keeper.stop();
--- a/test/sidecar/sidecar-node.test.ts
+++ b/test/sidecar/sidecar-node.test.ts
@@ -163,7 +163,7 @@
   const { node, grant } = await startWithOwnedKeys(world);
   t.true(world.kinds().includes('register'));
   t.deepEqual(grant?.ranges, [{ from: 0, to: 65_535, fence: 3, handover: '' }]);
-  t.is(node.notReady, null);
+  t.is(node.notReadyReason, null);
   await stop(world, node);
 });
 
@@ -220,7 +220,7 @@
   const world = new World();
   const { node } = await startWithOwnedKeys(world);
   const stopping = node.stop();
-  t.is(node.notReady, 'stopping');
+  t.is(node.notReadyReason, 'stopping');
   await pass(world, 7_000);
   await stopping;
 });
@@ -258,7 +258,7 @@
 test('a delayed heartbeat is ignored if its sender has ended and another incarnation is at the address', async (t) => {
   const world = new World();
   const { node } = await startWithOwnedKeys(world);
-  world.identity = { id: 'one', bornMs: null, isWell: true, coldLeftMs: 0 };
+  world.identity = { id: 'one', bornMs: null, isHealthy: true, coldLeftMs: 0 };
   t.is(await node.heartbeat({ ...heartbeat(90), id: 'zero' }), null);
   t.is(node.gateway.status()?.instance, 'one');
   t.truthy(await node.heartbeat(heartbeat(2)), 'the current incarnation continues');
@@ -269,7 +269,7 @@
   const world = new World();
   const node = await world.start();
   world.table([range(0, 65_535, 'one')]);
-  world.identity = { id: 'one', bornMs: null, isWell: true, coldLeftMs: 0 };
+  world.identity = { id: 'one', bornMs: null, isHealthy: true, coldLeftMs: 0 };
   await node.heartbeat({ ...heartbeat(90), id: 'zero' });
   t.is(node.gateway.status(), null);
   t.false(world.kinds().includes('register'));
