--- a/src/sidecar/backend-presence.ts
+++ b/src/sidecar/backend-presence.ts
@@ -10,7 +10,7 @@
 import type { BackendCalls, BackendHeartbeat } from './backend-report.js';
 import type { DirectoryTable } from './directory-table.js';
 import type { LeaseKeeper } from './lease-keeper.js';
-import { IncarnationProbe } from './life-check.js';
+import { IncarnationProbe } from './incarnation-probe.js';
 import { LocalBackend, type HeartbeatOutcome } from './local-backend.js';
 
 /** Delay in ms before a back end that refused a connection is checked again. */
