--- a/src/sidecar/backend-gateway.ts
+++ b/src/sidecar/backend-gateway.ts
@@ -18,16 +18,16 @@
 import type { Latencies } from '../telemetry/latencies.js';
 import { Admission, type Applicant } from './admission.js';
 import type { BackendClient, PreparedRun } from './backend-client.js';
-import { BackendTrials } from './backend-trials.js';
+import { BackendTrials } from './circuit-breaker.js';
 import type { ColdStartLimit } from './cold-start-limit.js';
 import type { CrashGuard } from './crash-guard.js';
 import type { AnsweredRun, RunOutcome } from './backend-run.js';
 import { gatewayCounters, slotTimeUse } from './gateway-counters.js';
 import { headerValue } from './header-dialect.js';
-import { LateOutlook, type LateWaitOutcome } from './late-outlook.js';
+import { LateOutlook, type LateWaitOutcome } from './late-wait-limiter.js';
 import { isTooLateToBegin, lateOrder, lateWaitMs, placeOrder, placeWaitMs, spareMs } from './place-policy.js';
-import { RunReports } from './run-reports.js';
-import { SuspectRuns, type Suspect } from './suspect-runs.js';
+import { RunReports } from './run-reporter.js';
+import { SuspectRuns, type Suspect } from './suspect-scheduler.js';
 import { WorkForecast } from './work-forecast.js';
 
 /** Pause between looks at waiting requests, in ms. */
--- a/src/sidecar/crash-guard.ts
+++ b/src/sidecar/crash-guard.ts
@@ -2,7 +2,7 @@
 import type { InterruptedRun } from '../quarantine/interrupted-runs.js';
 import type { Judged } from '../quarantine/quarantine-view.js';
 import type { IdentifiedRequest } from '../quarantine/request-fingerprint.js';
-import type { SuspectPermits } from './suspect-runs.js';
+import type { SuspectPermits } from './suspect-scheduler.js';
 
 /** The guard of one gateway. */
 export interface CrashGuard {
--- a/src/sidecar/crash-watch.ts
+++ b/src/sidecar/crash-watch.ts
@@ -9,7 +9,7 @@
 import type { Runtime } from '../runtime/runtime.js';
 import type { EventLog } from '../telemetry/event-log.js';
 import type { CrashGuard } from './crash-guard.js';
-import type { SuspectPermits } from './suspect-runs.js';
+import type { SuspectPermits } from './suspect-scheduler.js';
 
 /** What the watch needs of its daemon. */
 export interface CrashWatchPorts {
--- a/test/sidecar/backend-trials.test.ts
+++ b/test/sidecar/circuit-breaker.test.ts
@@ -1,6 +1,6 @@
 /** Which requests a back end gets at which runs break off. */
 import test from 'ava';
-import { BackendTrials } from '../../src/sidecar/backend-trials.js';
+import { BackendTrials } from '../../src/sidecar/circuit-breaker.js';
 
 function brokenTrials(): BackendTrials {
   const trials = new BackendTrials();
--- a/test/sidecar/late-outlook.test.ts
+++ b/test/sidecar/late-wait-limiter.test.ts
@@ -1,6 +1,6 @@
 /** Whether waiting beyond the target still brings answers. */
 import test from 'ava';
-import { LateOutlook } from '../../src/sidecar/late-outlook.js';
+import { LateOutlook } from '../../src/sidecar/late-wait-limiter.js';
 
 const NOW_MS = 10_000;
 const WAIT_MS = 1_000;
--- a/test/sidecar/run-reports.test.ts
+++ b/test/sidecar/run-reporter.test.ts
@@ -4,7 +4,7 @@
 import type { IdentifiedRequest } from '../../src/quarantine/request-fingerprint.js';
 import type { RunOutcome } from '../../src/sidecar/backend-run.js';
 import { OPEN_GUARD, type CrashGuard } from '../../src/sidecar/crash-guard.js';
-import { RunReports } from '../../src/sidecar/run-reports.js';
+import { RunReports } from '../../src/sidecar/run-reporter.js';
 import { ManualTime } from './manual-runtime.js';
 
 const IDENTITY: IdentifiedRequest = {
