--- a/src/sidecar/admission.ts
+++ b/src/sidecar/admission.ts
@@ -1,175 +1,175 @@
 /**
- * Places at one back end. No more requests are sent to it than it runs at once; the others wait here, the most
- * urgent first, each for no longer than it says.
+ * Admission control for one back end. At most as many requests are in flight as it has slots; the others are queued by
+ * priority, each until its own expiry time.
  */
 
-/** A request that wants a place. */
-export interface Applicant {
-  /** Rank; 0 is the most urgent. */
+/** A request for a slot. */
+export interface SlotRequest {
+  /** Priority; lower values go first. */
   readonly priority: number;
-  /** Among those of one rank the smallest goes first. */
+  /** Order among requests of the same priority; lower values go first. */
   readonly order: number;
-  /** Places that must stay free for others when it starts. */
+  /** Number of slots that must stay free for other requests when this one starts. */
   readonly reserve: number;
-  /** When it gives up waiting, in ms of the daemon's clock. */
+  /** Time in ms of the daemon's clock at which the request leaves the queue. */
   readonly expiresMs: number;
-  /** It has a place, which it must give back with `leave`. */
+  /** Called when a slot is granted; it must be returned with `leave`. */
   start(): void;
-  /** It has waited for too long, or there is no use in waiting. */
+  /** Called when the request has expired, or would expire before it got a slot. */
   expire(): void;
 }
 
-/** What the places need to know of the back end. */
+/** State of the back end that admission depends on. */
 export interface AdmissionPorts {
-  /** Time in ms until a request may start behind `ahead` others; 0 while nothing is bounded. */
+  /** Returns the time in ms until a request may start behind `ahead` others; 0 if the rate is not limited. */
   delayMs(ahead: number): number;
-  /** A request has started. */
-  noteStarted(): void;
-  /** How long work takes there at this moment, as a factor on the usual. */
+  /** Called when a request starts. */
+  recordStart(): void;
+  /** Returns the current processing time as a factor of the usual one. */
   pace(): number;
 }
 
-const STEADY: AdmissionPorts = { delayMs: () => 0, noteStarted: () => undefined, pace: () => 1 };
+const DEFAULT_PORTS: AdmissionPorts = { delayMs: () => 0, recordStart: () => undefined, pace: () => 1 };
 
 /** Weight of the newest sample in the mean service time. */
-const NEWEST_WEIGHT = 0.1;
+const EWMA_WEIGHT = 0.1;
 
-/** Service time that is assumed before any was seen, in ms. */
-const ASSUMED_SERVICE_MS = 50;
+/** Service time in ms that is assumed before the first sample. */
+const INITIAL_SERVICE_MS = 50;
 
-function goesBefore(left: Applicant, right: Applicant): boolean {
+function precedes(left: SlotRequest, right: SlotRequest): boolean {
   if (left.priority !== right.priority) return left.priority < right.priority;
   return left.order < right.order;
 }
 
-/** The places of one back end. */
+/** Slots of one back end, and the queue for them. */
 export class Admission {
   private running = 0;
   private paused = false;
-  private readonly waiting: Applicant[] = [];
-  /** At the usual pace. */
-  private meanMs = ASSUMED_SERVICE_MS;
+  private readonly waiting: SlotRequest[] = [];
+  /** Mean service time in ms, normalized to the usual pace. */
+  private meanServiceMs = INITIAL_SERVICE_MS;
 
   constructor(
     private slotCount: number,
-    private readonly ports: AdmissionPorts = STEADY,
+    private readonly ports: AdmissionPorts = DEFAULT_PORTS,
   ) {}
 
-  /** Requests that have a place. */
+  /** Number of requests that hold a slot. */
   get runningCount(): number {
     return this.running;
   }
 
-  /** Requests that wait. */
+  /** Number of queued requests. */
   get waitingCount(): number {
     return this.waiting.length;
   }
 
-  /** Places. */
+  /** Number of slots. */
   get slots(): number {
     return this.slotCount;
   }
 
-  /** Time in ms that a request is to be expected to keep its place, by a recent mean. */
+  /** Expected time in ms for which a request holds its slot: the recent mean at the current pace. */
   get serviceMs(): number {
-    return this.meanMs * this.ports.pace();
+    return this.meanServiceMs * this.ports.pace();
   }
 
-  /** Sets the number of places. */
+  /** Sets the number of slots. */
   resize(slots: number): void {
     this.slotCount = slots;
-    this.fill();
+    this.grantFreeSlots();
   }
 
-  /** Whether a request may be sent now and nothing runs. */
+  /** Whether no request is in flight and one may be sent now. */
   get isIdle(): boolean {
     return this.running === 0 && this.ports.delayMs(0) <= 0;
   }
 
-  /** Begins nothing until `resume`, but for what is begun past the others. */
+  /** Grants no slots until `resume`, except by `startBypassingQueue`. */
   pause(): void {
     this.paused = true;
   }
 
-  /** Begins what waits again. */
+  /** Grants slots to queued requests again. */
   resume(): void {
     this.paused = false;
-    this.fill();
+    this.grantFreeSlots();
   }
 
-  /** Begins an applicant past all that wait. */
-  beginPast(applicant: Applicant): void {
-    this.begin(applicant);
+  /** Starts a request ahead of the queue, also while paused. */
+  startBypassingQueue(request: SlotRequest): void {
+    this.grantSlot(request);
   }
 
-  /** Gives the applicant a place, lets it wait, or expires it at once when it would wait for too long. */
-  apply(applicant: Applicant, nowMs: number): void {
-    // Whoever waits has no place after this, so nobody is passed over.
-    this.fill();
-    if (this.hasPlaceFor(applicant)) {
-      this.begin(applicant);
+  /** Grants a slot, queues the request, or expires it at once if its expected wait is too long. */
+  apply(request: SlotRequest, nowMs: number): void {
+    // Queued requests that may start now go first, so that the new one does not overtake them.
+    this.grantFreeSlots();
+    if (this.hasSlotFor(request)) {
+      this.grantSlot(request);
       return;
     }
-    const ahead = this.waiting.filter((other) => !goesBefore(applicant, other)).length;
-    const placeMs = (this.serviceMs * (ahead + 1)) / (this.slotCount + 1);
-    const expectedMs = Math.max(placeMs, this.ports.delayMs(ahead));
-    if (nowMs + expectedMs > applicant.expiresMs) {
-      applicant.expire();
+    const ahead = this.waiting.filter((other) => !precedes(request, other)).length;
+    const slotWaitMs = (this.serviceMs * (ahead + 1)) / (this.slotCount + 1);
+    const expectedMs = Math.max(slotWaitMs, this.ports.delayMs(ahead));
+    if (nowMs + expectedMs > request.expiresMs) {
+      request.expire();
       return;
     }
-    this.insert(applicant);
+    this.insert(request);
   }
 
-  /** A request gives its place back; `usedMs` is the time for which it had it, at the pace of that time. */
+  /** Returns a slot that was held for `usedMs`, measured at the current pace. */
   leave(usedMs: number): void {
     this.running -= 1;
-    this.meanMs += (usedMs / this.ports.pace() - this.meanMs) * NEWEST_WEIGHT;
-    this.fill();
+    this.meanServiceMs += (usedMs / this.ports.pace() - this.meanServiceMs) * EWMA_WEIGHT;
+    this.grantFreeSlots();
   }
 
-  /** A waiting applicant has no more use for a place. */
-  withdraw(applicant: Applicant): void {
-    const at = this.waiting.indexOf(applicant);
+  /** Removes a request from the queue. */
+  withdraw(request: SlotRequest): void {
+    const at = this.waiting.indexOf(request);
     if (at >= 0) this.waiting.splice(at, 1);
   }
 
-  /** Expires those that have waited for too long. */
+  /** Expires queued requests whose time has passed. */
   expireBefore(nowMs: number): void {
     const expired = this.waiting.filter(({ expiresMs }) => expiresMs <= nowMs);
-    for (const applicant of expired) {
-      this.withdraw(applicant);
-      applicant.expire();
+    for (const request of expired) {
+      this.withdraw(request);
+      request.expire();
     }
   }
 
-  /** Expires everything that waits. */
+  /** Expires all queued requests. */
   expireAll(): void {
-    for (const applicant of this.waiting.splice(0)) applicant.expire();
+    for (const request of this.waiting.splice(0)) request.expire();
   }
 
-  private begin(applicant: Applicant): void {
+  private grantSlot(request: SlotRequest): void {
     this.running += 1;
-    this.ports.noteStarted();
-    applicant.start();
+    this.ports.recordStart();
+    request.start();
   }
 
-  private insert(applicant: Applicant): void {
-    const at = this.waiting.findIndex((other) => goesBefore(applicant, other));
-    if (at < 0) this.waiting.push(applicant);
-    else this.waiting.splice(at, 0, applicant);
+  private insert(request: SlotRequest): void {
+    const at = this.waiting.findIndex((other) => precedes(request, other));
+    if (at < 0) this.waiting.push(request);
+    else this.waiting.splice(at, 0, request);
   }
 
-  private hasPlaceFor({ reserve }: Applicant): boolean {
+  private hasSlotFor({ reserve }: SlotRequest): boolean {
     return !this.paused && this.running + reserve < this.slotCount && this.ports.delayMs(0) <= 0;
   }
 
-  /** Starts those that wait and may start now. */
-  fill(): void {
+  /** Grants free slots to the queued requests that may start now. */
+  grantFreeSlots(): void {
     for (;;) {
-      const next = this.waiting.find((applicant) => this.hasPlaceFor(applicant));
+      const next = this.waiting.find((request) => this.hasSlotFor(request));
       if (next === undefined) return;
       this.withdraw(next);
-      this.begin(next);
+      this.grantSlot(next);
     }
   }
 }
--- a/src/sidecar/answer-parser.ts
+++ b/src/sidecar/answer-parser.ts
@@ -1,34 +1,34 @@
 /**
- * Reads HTTP/1.1 answers from a byte stream with `http-parser-js`, and refuses what that library takes leniently:
- * lengths and chunk sizes that are not numbers, which would make a cut answer look whole.
+ * Parses HTTP/1.1 answers from a byte stream with `http-parser-js`. Rejects content lengths and chunk sizes that are
+ * not numbers, which that library tolerates and which would make a truncated answer look complete.
  */
 import { HTTPParser } from 'http-parser-js';
 import { headerValue } from './header-dialect.js';
 
-/** The beginning of an answer. */
+/** Status and headers of an answer. */
 export interface ParsedAnswer {
   readonly statusCode: number;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   readonly headers: readonly string[];
-  /** Whether the connection may be used again after this answer. */
+  /** Whether the connection may be reused after this answer. */
   readonly keepAlive: boolean;
-  /** Whether the answer says where it ends; otherwise it ends with its connection, and nobody can tell a cut one. */
+  /** Whether the answer is delimited by a length or chunks; otherwise truncation cannot be detected. */
   readonly framed: boolean;
 }
 
-/** What the owner of a parser is told. */
+/** Callbacks of a parser. */
 export interface AnswerParserHandlers {
-  /** Returns whether the answer has no body whatever its headers say. */
+  /** Returns whether the answer has no body, regardless of its headers. */
   onHeaders(answer: ParsedAnswer): boolean;
   onBody(chunk: Buffer): void;
-  /** `surplus`: more bytes came together with the end of the answer. */
+  /** `surplus` tells whether the last chunk contains bytes beyond the end of the answer. */
   onComplete(surplus: boolean): void;
 }
 
 const CHUNK_SIZE = /^[0-9a-fA-F]{1,12}(?:\s*;.*)?$/;
 const CONTENT_LENGTH = /^[0-9]{1,15}$/;
 
-/** State of `http-parser-js` that its types leave out. */
+/** Internals of `http-parser-js` that its type declarations omit. */
 interface ParserInternals {
   state: string;
   offset: number;
@@ -38,7 +38,7 @@
 
 type Parser = InstanceType<typeof HTTPParser>;
 
-/** A parser of the answers on one connection. */
+/** Parser of the answers on one connection. */
 export class AnswerParser {
   private readonly parser: Parser;
 
@@ -46,13 +46,13 @@
     const parser = new HTTPParser(HTTPParser.RESPONSE);
     this.parser = parser;
     const internals = parser as unknown as ParserInternals;
-    refuseLenientChunkSizes(internals);
+    rejectInvalidChunkSizes(internals);
     parser[HTTPParser.kOnHeadersComplete] = ((info: {
       statusCode: number;
       headers: string[];
       shouldKeepAlive: boolean;
     }): boolean => {
-      refuseLenientLength(info.headers);
+      rejectInvalidContentLength(info.headers);
       const { statusCode, headers, shouldKeepAlive } = info;
       return handlers.onHeaders({
         statusCode,
@@ -69,7 +69,7 @@
     };
   }
 
-  /** Takes the next bytes; returns what is wrong with them, or null. */
+  /** Parses the next bytes; returns an error message, or null. */
   push(chunk: Buffer): string | null {
     try {
       const result = this.parser.execute(chunk, 0, chunk.length);
@@ -79,7 +79,7 @@
     }
   }
 
-  /** The stream has ended; returns what is wrong with that, or null when it ends an answer without length. */
+  /** Handles the end of the stream; returns an error message, or null if it completes an answer without a length. */
   end(): string | null {
     try {
       const result: unknown = this.parser.finish();
@@ -90,12 +90,12 @@
   }
 }
 
-function refuseLenientChunkSizes(parser: ParserInternals): void {
+function rejectInvalidChunkSizes(parser: ParserInternals): void {
   const consumeLine = parser.consumeLine.bind(parser);
   parser.consumeLine = () => {
     const line = consumeLine();
-    const wrong = line !== undefined && parser.state === 'BODY_CHUNKHEAD' && !CHUNK_SIZE.test(line);
-    if (wrong) throw new Error('a chunk size is not a number');
+    const isInvalid = line !== undefined && parser.state === 'BODY_CHUNKHEAD' && !CHUNK_SIZE.test(line);
+    if (isInvalid) throw new Error('a chunk size is not a number');
     return line;
   };
 }
@@ -106,7 +106,7 @@
   );
 }
 
-function refuseLenientLength(headers: readonly string[]): void {
+function rejectInvalidContentLength(headers: readonly string[]): void {
   for (let at = 0; at + 1 < headers.length; at += 2) {
     if (headers[at]?.toLowerCase() !== 'content-length') continue;
     if (!CONTENT_LENGTH.test(headers[at + 1] ?? '')) throw new Error('a content length is not a number');
--- a/src/sidecar/backend-client.ts
+++ b/src/sidecar/backend-client.ts
@@ -1,4 +1,4 @@
-/** The back end beside this daemon, as its gateway uses it: a place to run requests at. */
+/** Client through which a gateway runs requests at its local back end. */
 import type { RequestHead } from '../link/link-messages.js';
 import type { SocketAddress } from '../model/socket-address.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -6,19 +6,19 @@
 import { BackendRun, type RunPorts } from './backend-run.js';
 import type { HeaderDialect } from './header-dialect.js';
 
-/** A request that was prepared for the back end. */
+/** A request that is ready to be sent to the back end. */
 export interface PreparedRun {
-  /** Sends it. */
+  /** Sends the request. */
   start(): void;
-  /** Breaks it off; nothing more is told of it. */
+  /** Cancels the request; its callbacks are no longer called. */
   cancel(): void;
 }
 
 /** Runs requests at one back end. */
 export interface BackendClient {
-  /** Connections that were opened so far. */
+  /** Number of connections opened so far. */
   readonly opened: number;
-  /** Prepares a request that may take `leftMs`. */
+  /** Prepares a request that must complete within `leftMs`. */
   prepare(head: RequestHead, body: Buffer, leftMs: number, ports: RunPorts): PreparedRun;
   /** Closes all connections. */
   destroy(): void;
@@ -57,7 +57,7 @@
   }
 }
 
-/** Runs requests over HTTP/1.1 connections. `onRefused`: no process listens at the back end's address. */
+/** Creates a client that uses HTTP/1.1. `onRefused` is called when no process listens at the back end's address. */
 export function httpBackendClient(
   address: SocketAddress,
   dialect: HeaderDialect,
--- a/src/sidecar/backend-connection.ts
+++ b/src/sidecar/backend-connection.ts
@@ -1,66 +1,66 @@
 /**
- * One connection to a back end. It carries one request at a time, and it is closed as soon as anything comes that
- * belongs to no request: surplus bytes, a second answer, an answer to another request.
+ * One HTTP/1.1 connection to a back end. It carries one request at a time, and it is closed on any data that does not
+ * belong to that request: surplus bytes, a second answer, an answer to another request.
  */
 import { connect, type Socket } from 'node:net';
 import type { SocketAddress } from '../model/socket-address.js';
 import { AnswerParser, type ParsedAnswer } from './answer-parser.js';
 import { headerValue } from './header-dialect.js';
 
-/** Time in ms for a connection to open. */
+/** Timeout in ms for opening a connection. */
 const CONNECT_TIMEOUT_MS = 1_000;
 
-/** Time in ms after which an idle connection is not used again, where the back end does not say. */
-const DEFAULT_IDLE_MS = 4_000;
+/** Time in ms after which an idle connection is no longer reused, if the back end sends no keep-alive timeout. */
+const DEFAULT_MAX_IDLE_MS = 4_000;
 
-/** Time in ms before the back end would close an idle connection from which on it is not used again. */
+/** Margin in ms before the back end's keep-alive timeout within which an idle connection is no longer reused. */
 const IDLE_MARGIN_MS = 1_500;
 
 const MS_PER_SECOND = 1_000;
 const FIRST_FINAL_STATUS = 200;
 const KEEP_ALIVE_TIMEOUT = /timeout=(\d{1,6})/i;
 
-/** A request as it goes to the back end. */
+/** A request to the back end. */
 export interface BackendRequest {
   readonly method: string;
   readonly path: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   readonly headers: readonly string[];
   readonly body: Buffer;
   readonly requestId: string;
-  /** Whether it may run more than once. */
+  /** Whether the request may be executed more than once. */
   readonly repeatable: boolean;
 }
 
-/** Why a request that was sent has no whole answer. */
+/** Why a request has no complete answer: the connection broke, or the answer is malformed. */
 export type BrokenReason = 'broken' | 'garbled';
 
-/** What becomes of a request. `onEnd` and `onBroken` are final. */
+/** Callbacks of a request. `onEnd` and `onBroken` are final. */
 export interface BackendRequestHandlers {
   onAnswer(answer: ParsedAnswer): void;
   onBody(chunk: Buffer): void;
   onEnd(): void;
-  /** `sent` is false when no byte of the request can have left. */
+  /** `sent` is false if no byte of the request can have been sent. */
   onBroken(reason: BrokenReason, detail: string, sent: boolean): void;
 }
 
-/** How a connection names headers. */
+/** Names of the headers that a connection reads. */
 export interface ConnectionHeaders {
   readonly requestId: string;
   readonly notRun: string;
 }
 
-/** A connection to one back end. */
+/** Connection to one back end. */
 export class BackendConnection {
   private readonly socket: Socket;
   private readonly parser: AnswerParser;
   private request: BackendRequest | null = null;
   private handlers: BackendRequestHandlers | null = null;
   private connected = false;
-  private dead = false;
-  private written = false;
-  /** Whether the answer that is arriving belongs to the present request. */
-  private answering = false;
+  private closed = false;
+  private requestWritten = false;
+  /** Whether the answer being received belongs to the present request. */
+  private receivingAnswer = false;
   private reusable = true;
   private idleUntilMs = 0;
   private usedMs = Infinity;
@@ -73,12 +73,12 @@
     private readonly onClosed: (connection: BackendConnection, refused: boolean) => void,
   ) {
     this.parser = new AnswerParser({
-      onHeaders: (answer) => this.takeHeaders(answer),
+      onHeaders: (answer) => this.handleHeaders(answer),
       onBody: (chunk) => {
-        if (this.answering) this.handlers?.onBody(chunk);
+        if (this.receivingAnswer) this.handlers?.onBody(chunk);
       },
       onComplete: (surplus) => {
-        this.takeComplete(surplus);
+        this.handleComplete(surplus);
       },
     });
     this.socket = connect({ host: address.host, port: address.port });
@@ -89,30 +89,30 @@
     this.listen();
   }
 
-  /** Whether the next request may use this connection. */
+  /** Whether the connection may be used for another request. */
   get usable(): boolean {
-    return !this.dead && this.reusable && this.request === null && this.nowMs() < this.idleUntilMs;
+    return !this.closed && this.reusable && this.request === null && this.nowMs() < this.idleUntilMs;
   }
 
-  /** Time in ms since it was last used; 0 before that. */
-  get restedMs(): number {
+  /** Time in ms since the last answer; 0 before the first. */
+  get idleForMs(): number {
     return Math.max(0, this.nowMs() - this.usedMs);
   }
 
-  /** Whether a request is under way. */
+  /** Whether a request is in flight. */
   get busy(): boolean {
     return this.request !== null;
   }
 
-  /** Sends a request; a connection that is still opening sends it when it is open. */
+  /** Sends a request, as soon as the connection is open. */
   run(request: BackendRequest, handlers: BackendRequestHandlers): void {
     this.request = request;
     this.handlers = handlers;
-    this.written = false;
+    this.requestWritten = false;
     if (this.connected) this.write();
   }
 
-  /** Closes at once; no handler is called any more. */
+  /** Closes the connection without calling any handler. */
   destroy(): void {
     this.handlers = null;
     this.request = null;
@@ -130,7 +130,7 @@
       this.receive(chunk);
     });
     socket.on('end', () => {
-      this.ended();
+      this.handleEnd();
     });
     socket.on('error', (error: NodeJS.ErrnoException) => {
       this.fail('broken', error.message, error.code === 'ECONNREFUSED');
@@ -142,8 +142,8 @@
 
   private write(): void {
     const { request, socket } = this;
-    if (request === null || this.dead) return;
-    this.written = true;
+    if (request === null || this.closed) return;
+    this.requestWritten = true;
     socket.cork();
     socket.write(encodeRequest(request), 'latin1');
     if (request.body.length > 0) socket.write(request.body);
@@ -151,7 +151,7 @@
   }
 
   private receive(chunk: Buffer): void {
-    if (this.dead) return;
+    if (this.closed) return;
     if (this.request === null) {
       this.close(false);
       return;
@@ -160,9 +160,9 @@
     if (problem !== null) this.fail('garbled', problem, false);
   }
 
-  private ended(): void {
-    if (this.dead) return;
-    if (this.answering) {
+  private handleEnd(): void {
+    if (this.closed) return;
+    if (this.receivingAnswer) {
       this.reusable = false;
       const problem = this.parser.end();
       if (problem === null && this.request === null) {
@@ -173,37 +173,37 @@
     this.fail('broken', 'the answer was cut short', false);
   }
 
-  private takeHeaders(answer: ParsedAnswer): boolean {
-    this.answering = false;
+  private handleHeaders(answer: ParsedAnswer): boolean {
+    this.receivingAnswer = false;
     if (this.request === null || answer.statusCode < FIRST_FINAL_STATUS) return false;
-    const noBody = this.request.method === 'HEAD';
-    if (!this.belongs(answer, this.request)) {
+    const hasNoBody = this.request.method === 'HEAD';
+    if (!this.matchesRequest(answer, this.request)) {
       this.reusable = false;
-      return noBody;
+      return hasNoBody;
     }
-    this.answering = true;
+    this.receivingAnswer = true;
     if (!answer.keepAlive) this.reusable = false;
-    this.idleUntilMs = this.nowMs() + idleMs(answer.headers);
+    this.idleUntilMs = this.nowMs() + maxIdleMs(answer.headers);
     this.handlers?.onAnswer(answer);
-    return noBody;
+    return hasNoBody;
   }
 
-  /** A surplus answer to an earlier request may come where the next one is due; its id tells. */
-  private belongs(answer: ParsedAnswer, request: BackendRequest): boolean {
+  /** Compares request ids, since a surplus answer to an earlier request may arrive where the next one is expected. */
+  private matchesRequest(answer: ParsedAnswer, request: BackendRequest): boolean {
     const id = headerValue(answer.headers, this.names.requestId);
     if (id !== null) return id === request.requestId;
     return headerValue(answer.headers, this.names.notRun) !== null;
   }
 
-  private takeComplete(surplus: boolean): void {
-    if (!this.answering) {
+  private handleComplete(surplus: boolean): void {
+    if (!this.receivingAnswer) {
       if (this.request === null) this.reusable = false;
       return;
     }
-    this.answering = false;
+    this.receivingAnswer = false;
     this.usedMs = this.nowMs();
-    const bodyIsUnsent = this.socket.writableLength > 0;
-    if (surplus || bodyIsUnsent) this.reusable = false;
+    const hasUnsentBody = this.socket.writableLength > 0;
+    if (surplus || hasUnsentBody) this.reusable = false;
     const { handlers } = this;
     this.request = null;
     this.handlers = null;
@@ -212,17 +212,17 @@
   }
 
   private fail(reason: BrokenReason, detail: string, refused: boolean): void {
-    if (this.dead) return;
-    const { handlers, written } = this;
+    if (this.closed) return;
+    const { handlers, requestWritten } = this;
     this.request = null;
     this.handlers = null;
     this.close(refused);
-    handlers?.onBroken(reason, detail, written);
+    handlers?.onBroken(reason, detail, requestWritten);
   }
 
   private close(refused: boolean): void {
-    if (this.dead) return;
-    this.dead = true;
+    if (this.closed) return;
+    this.closed = true;
     clearTimeout(this.connectTimer);
     this.socket.destroy();
     this.onClosed(this, refused);
@@ -237,8 +237,8 @@
   return `${text}\r\n`;
 }
 
-function idleMs(headers: readonly string[]): number {
+function maxIdleMs(headers: readonly string[]): number {
   const match = KEEP_ALIVE_TIMEOUT.exec(headerValue(headers, 'keep-alive') ?? '');
-  if (match === null) return DEFAULT_IDLE_MS;
+  if (match === null) return DEFAULT_MAX_IDLE_MS;
   return Math.max(0, Number(match[1]) * MS_PER_SECOND - IDLE_MARGIN_MS);
 }
--- a/src/sidecar/backend-gateway.ts
+++ b/src/sidecar/backend-gateway.ts
@@ -1,6 +1,7 @@
 /**
- * The only way to the back end beside this daemon. It decides what may be sent there: the right life of the back end,
- * within its places, while it is not leaving, and with keys that it holds.
+ * Gateway to the local back end: every request to it passes through here. A request is forwarded only if it is
+ * addressed to the present incarnation of the back end, a slot is free, the back end is not leaving, and it holds the
+ * request's key.
  */
 import type {
   AnswerTiming,
@@ -16,101 +17,104 @@
 import type { IdentifiedRequest } from '../quarantine/request-fingerprint.js';
 import type { EventLog } from '../telemetry/event-log.js';
 import type { Latencies } from '../telemetry/latencies.js';
-import { Admission, type Applicant } from './admission.js';
+import { Admission, type SlotRequest } from './admission.js';
 import type { BackendClient, PreparedRun } from './backend-client.js';
-import { BackendTrials } from './circuit-breaker.js';
+import { CircuitBreaker } from './circuit-breaker.js';
 import type { ColdStartLimit } from './cold-start-limit.js';
 import type { CrashGuard } from './crash-guard.js';
 import type { AnsweredRun, RunOutcome } from './backend-run.js';
-import { gatewayCounters, slotTimeUse } from './gateway-counters.js';
+import { createGatewayCounters, slotTimeUse } from './gateway-counters.js';
 import { headerValue } from './header-dialect.js';
-import { LateOutlook, type LateWaitOutcome } from './late-wait-limiter.js';
+import { LateWaitLimiter, type LateWaitOutcome } from './late-wait-limiter.js';
 import { isTooLateToBegin, lateOrder, lateWaitMs, placeOrder, placeWaitMs, spareMs } from './place-policy.js';
-import { RunReports } from './run-reporter.js';
-import { SuspectRuns, type Suspect } from './suspect-scheduler.js';
+import { RunReporter } from './run-reporter.js';
+import { SuspectScheduler, type SuspectRequest } from './suspect-scheduler.js';
 import { WorkForecast } from './work-forecast.js';
 
-/** Pause between looks at waiting requests, in ms. */
-const STEP_MS = 20;
+/** Interval in ms at which waiting requests are checked. */
+const CHECK_INTERVAL_MS = 20;
 
-/** Longest time in ms after which to come back when the queue was too long. */
-const LONGEST_RETRY_AFTER_MS = 600;
+/** Upper bound in ms of the retry delay that is sent when the queue is too long. */
+const MAX_BUSY_RETRY_AFTER_MS = 600;
 
-/** When to come back after a refusal for another reason, in ms; keys and daemons are back by then as a rule. */
-const RETRY_AFTER_CHANGE_MS = 350;
+/** Retry delay in ms for other refusals; key handovers and daemon restarts have usually completed by then. */
+const DEFAULT_RETRY_AFTER_MS = 350;
 
-/** Longest time in ms for which a request may wait to run alone; most that are cleared are so within a run of theirs. */
-const LONGEST_SUSPECT_WAIT_MS = 1_000;
+/**
+ * Maximum time in ms for which a suspect request waits to run in isolation. Most suspects that are cleared are cleared
+ * within the duration of one of their runs.
+ */
+const MAX_SUSPECT_WAIT_MS = 1_000;
 
-/** What the gateway needs to know of its back end. */
+/** Dependencies of a gateway, and the state of its back end. */
 export interface GatewayPorts {
   readonly runtime: Runtime;
   readonly log: EventLog;
   readonly service: string;
   readonly latencies: Latencies;
-  /** Paces large answers; null where the network link is fast. */
+  /** Paces large answers; null if the network link is fast. */
   readonly pacer: LinkPacer | null;
   readonly backend: BackendClient;
-  /** Bounds what is sent while the back end is cold. */
+  /** Limits the request rate while the back end is cold. */
   readonly coldLimit: ColdStartLimit;
   readonly guard: CrashGuard;
-  /** Id of the present life; null until it has told about itself. */
+  /** Id of the present incarnation; null until the back end has registered. */
   readonly instance: () => string | null;
-  /** Whether this daemon was started a moment ago and its back end may not have told about itself yet. */
+  /** Whether this daemon has only just started, so that its back end may not have registered yet. */
   readonly awaitsBackend: () => boolean;
-  /** When requests stop because the back end leaves or the daemon stops, in ms; infinite while they do not. */
+  /** Time in ms from which requests are refused because the back end leaves or the daemon stops; infinite otherwise. */
   readonly closesAtMs: () => number;
-  /** Whether new requests should rather go elsewhere. */
+  /** Whether callers should prefer other instances for new requests. */
   readonly leaving: () => boolean;
-  /** Whether the back end holds a key now. */
+  /** Whether the back end holds the key now. */
   readonly holdsKey: (key: number) => boolean;
-  /** Whether a key belongs here, or will in a moment. */
+  /** Whether the key is assigned to the back end, or is about to be. */
   readonly ownsKey: (key: number) => boolean;
-  /** Slot time was used for a key. */
+  /** Called when slot time is used for a key; `ms` may be negative to correct an estimate. */
   readonly onWork: (key: number | null, ms: number) => void;
 }
 
-/** A request inside the gateway. */
-interface Visit {
+/** State of a request in the gateway. */
+interface GatewayRequest {
   readonly head: RequestHead;
   readonly body: Buffer;
-  /** What tells it from other requests. */
+  /** The parts of the request that its fingerprint is computed from. */
   readonly identity: IdentifiedRequest;
   readonly reply: RequestReply;
   readonly arrivedMs: number;
   readonly expiresMs: number;
-  applicant: Applicant | null;
-  /** Set while it is treated as a suspect. */
-  suspect: Suspect | null;
+  slotRequest: SlotRequest | null;
+  /** Set while the request is handled as a suspect. */
+  suspect: SuspectRequest | null;
   run: PreparedRun | null;
-  /** Whether nothing else has run beside it. */
+  /** Whether no other request has run at the back end at the same time. */
   alone: boolean;
   startedMs: number;
-  /** Slot time in ms that was counted as asked for. */
+  /** Slot time in ms that was reported as offered load when the request arrived. */
   offeredMs: number;
-  /** Whether it waits now although it will be late. */
-  late: boolean;
+  /** Whether the request is queued although its answer will miss the target latency. */
+  waitsLate: boolean;
   done: boolean;
 }
 
-/** The gateway to one back end. */
+/** Gateway to one back end. */
 export class BackendGateway {
-  readonly counters = gatewayCounters();
+  readonly counters = createGatewayCounters();
   readonly admission: Admission;
-  readonly forecast: WorkForecast<Visit>;
-  readonly lateOutlook = new LateOutlook();
-  readonly suspects: SuspectRuns;
-  private readonly reports: RunReports;
-  /** Requests that wait for the back end to tell about itself, or for keys. */
-  private readonly waiting = new Set<Visit>();
-  private readonly running = new Set<Visit>();
-  private readonly trials = new BackendTrials();
+  readonly forecast: WorkForecast<GatewayRequest>;
+  readonly lateOutlook = new LateWaitLimiter();
+  readonly suspects: SuspectScheduler;
+  private readonly reporter: RunReporter;
+  /** Requests that wait for the back end to register, or for their key to be granted. */
+  private readonly waiting = new Set<GatewayRequest>();
+  private readonly running = new Set<GatewayRequest>();
+  private readonly circuitBreaker = new CircuitBreaker();
   private stopped = false;
-  private cancelStep: CancelTimer | null = null;
+  private cancelCheck: CancelTimer | null = null;
 
   constructor(private readonly ports: GatewayPorts) {
     const { coldLimit, runtime, pacer, guard } = ports;
-    this.reports = new RunReports(guard, runtime);
+    this.reporter = new RunReporter(guard, runtime);
     this.forecast = new WorkForecast({
       nowMs: () => runtime.nowMs(),
       serviceMs: () => this.admission.serviceMs,
@@ -119,15 +123,15 @@
     });
     this.admission = new Admission(1, {
       delayMs: (ahead) => coldLimit.delayMs(ahead, runtime.steadyMs()),
-      noteStarted: () => {
-        coldLimit.noteSent(runtime.steadyMs());
+      recordStart: () => {
+        coldLimit.recordSent(runtime.steadyMs());
       },
-      pace: () => this.forecast.paceNow,
+      pace: () => this.forecast.currentPace,
     });
-    this.suspects = new SuspectRuns({
+    this.suspects = new SuspectScheduler({
       runtime,
       permits: guard.permits,
-      isFree: () => this.admission.isIdle,
+      canRunAlone: () => this.admission.isIdle,
       pause: () => {
         this.admission.pause();
       },
@@ -137,17 +141,17 @@
     });
   }
 
-  /** Requests that run at the back end. */
+  /** Number of requests in flight at the back end. */
   get runningCount(): number {
     return this.running.size;
   }
 
-  /** The back end says how many requests it runs at once. */
+  /** Sets the number of requests that the back end runs concurrently. */
   setSlots(slots: number): void {
     this.admission.resize(slots);
   }
 
-  /** How busy the back end is; null while nothing is known of it. */
+  /** Returns the load of the back end; null until it has registered. */
   status(): StatusHead | null {
     const instance = this.ports.instance();
     if (instance === null) return null;
@@ -160,78 +164,78 @@
       waiting: waitingCount + this.waiting.size + this.suspects.waitingCount,
       slots,
       serviceMs: Math.round(Math.max(this.admission.serviceMs, this.oldestRunMs() / 2)),
-      accepting: !this.ports.leaving() && !this.suspects.isolating,
+      accepting: !this.ports.leaving() && !this.suspects.isIsolating,
       sendWaitMs: Math.round(this.forecast.sendWaitMs),
-      coldStart: this.ports.coldLimit.outlook(this.ports.runtime.steadyMs()),
-      pace: rounded(pace.now),
-      meanPace: rounded(pace.mean),
+      coldStart: this.ports.coldLimit.estimate(this.ports.runtime.steadyMs()),
+      pace: roundToHundredths(pace.now),
+      meanPace: roundToHundredths(pace.mean),
     };
   }
 
-  /** Takes a request of another daemon or of this one. */
+  /** Accepts a request from this daemon or a peer. */
   take(head: RequestHead, body: Buffer, reply: RequestReply): AcceptedRequest {
     const nowMs = this.ports.runtime.nowMs();
-    const visit: Visit = {
+    const request: GatewayRequest = {
       head,
       body,
       identity: identityOf(head, body),
       reply,
       arrivedMs: nowMs,
-      expiresMs: nowMs + this.changeWaitMs(head),
-      applicant: null,
+      expiresMs: nowMs + this.maxReadinessWaitMs(head),
+      slotRequest: null,
       suspect: null,
       run: null,
       alone: false,
       startedMs: 0,
       offeredMs: 0,
-      late: false,
+      waitsLate: false,
       done: false,
     };
     this.counters.requests += 1;
-    this.consider(visit);
+    this.evaluate(request);
     return {
       cancel: () => {
-        this.cancel(visit);
+        this.cancel(request);
       },
       withdraw: () => {
-        if (visit.run === null) this.withdraw(visit);
+        if (request.run === null) this.withdraw(request);
       },
     };
   }
 
-  /** Time in ms for which a request may wait for keys, or for the back end to tell about itself. */
-  private changeWaitMs(head: RequestHead): number {
+  /** Returns the time in ms for which a request may wait for its key, or for the back end to register. */
+  private maxReadinessWaitMs(head: RequestHead): number {
     const claim = this.forecast.claimOf(head, null);
     const meanMs = this.forecast.workMs(head.route);
     const inTimeMs = Math.max(head.patienceMs, spareMs(claim, meanMs));
-    // A first try that is refused comes back; one that came back has nothing to lose by waiting.
-    const hasComeBack = head.spentMs > 0 && policyIsOn('key-patience');
-    const waitMs = hasComeBack ? Math.max(inTimeMs, lateWaitMs(claim, 0, meanMs)) : inTimeMs;
+    // The caller retries after a refused first attempt; a request that is itself a retry loses nothing by waiting.
+    const isRetry = head.spentMs > 0 && policyIsOn('key-patience');
+    const waitMs = isRetry ? Math.max(inTimeMs, lateWaitMs(claim, 0, meanMs)) : inTimeMs;
     return Math.min(Math.max(0, head.remainingMs - meanMs), waitMs);
   }
 
-  /** Another life of the back end has begun; what broke off at the one before says nothing of it. */
+  /** Resets what is specific to an incarnation: broken runs of the previous one say nothing about the new one. */
   startLife(): void {
-    this.trials.startLife();
+    this.circuitBreaker.reset();
   }
 
-  /** Something has changed that requests may wait for. */
+  /** Re-evaluates the waiting requests after a change of the back end's state, keys or crash records. */
   reconsider(): void {
-    for (const visit of [...this.waiting]) {
-      this.waiting.delete(visit);
-      this.consider(visit);
+    for (const request of [...this.waiting]) {
+      this.waiting.delete(request);
+      this.evaluate(request);
     }
-    for (const suspect of this.suspects.takeWaiting()) suspect.reconsider();
-    this.suspects.step();
+    for (const suspect of this.suspects.removeAllWaiting()) suspect.reevaluate();
+    this.suspects.check();
   }
 
-  /** Stops everything; what runs is broken off, and its callers' daemons are told so. */
+  /** Stops the gateway: refuses waiting requests, and fails those in flight towards their callers' daemons. */
   stop(): void {
     this.stopped = true;
-    this.cancelStep?.();
-    for (const visit of [...this.waiting]) this.refuse(visit, 'leaving');
-    for (const suspect of this.suspects.takeWaiting()) suspect.refuse();
-    this.reports.flush();
+    this.cancelCheck?.();
+    for (const request of [...this.waiting]) this.refuse(request, 'leaving');
+    for (const suspect of this.suspects.removeAllWaiting()) suspect.refuse();
+    this.reporter.flush();
     this.admission.expireAll();
     for (const { reply } of this.running) {
       reply.fail({ reason: 'broken', detail: 'the daemon stops', status: null });
@@ -239,311 +243,314 @@
     this.ports.backend.destroy();
   }
 
-  private consider(visit: Visit): void {
+  private evaluate(request: GatewayRequest): void {
     const { ports } = this;
-    const { instance, key } = visit.head;
+    const { instance, key } = request.head;
     const nowMs = ports.runtime.nowMs();
     const present = ports.instance();
-    if (nowMs >= ports.closesAtMs()) this.refuse(visit, 'leaving');
-    else if (present === null && ports.awaitsBackend()) this.wait(visit, 'unknown-instance');
-    else if (present !== instance) this.refuse(visit, 'unknown-instance');
-    else if (key !== null && !ports.holdsKey(key)) this.considerKey(visit, key);
-    else this.considerRecord(visit, nowMs);
-  }
-
-  /** Requests under which back ends have ended run alone, or not at all. */
-  private considerRecord(visit: Visit, nowMs: number): void {
-    const { stage, fingerprint } = this.ports.guard.judge(visit.identity);
-    if (stage === 'quarantined') this.refuse(visit, 'quarantined');
-    else if (stage === 'suspect' && fingerprint !== null) this.addSuspect(visit, fingerprint);
-    else if (!this.trials.admits(nowMs)) this.refuse(visit, 'unreachable');
-    else this.apply(visit, nowMs);
-  }
-
-  private addSuspect(visit: Visit, fingerprint: string): void {
-    const { head, arrivedMs } = visit;
-    const spareTimeMs = Math.max(0, head.remainingMs - this.forecast.workMs(head.route));
-    const suspect: Suspect = {
+    if (nowMs >= ports.closesAtMs()) this.refuse(request, 'leaving');
+    else if (present === null && ports.awaitsBackend()) this.waitForReadiness(request, 'unknown-instance');
+    else if (present !== instance) this.refuse(request, 'unknown-instance');
+    else if (key !== null && !ports.holdsKey(key)) this.evaluateKey(request, key);
+    else this.evaluateCrashRecord(request, nowMs);
+  }
+
+  /** Isolates requests that are suspected of having crashed back ends, and refuses quarantined ones. */
+  private evaluateCrashRecord(request: GatewayRequest, nowMs: number): void {
+    const { stage, fingerprint } = this.ports.guard.classify(request.identity);
+    if (stage === 'quarantined') this.refuse(request, 'quarantined');
+    else if (stage === 'suspect' && fingerprint !== null) this.addSuspect(request, fingerprint);
+    else if (!this.circuitBreaker.allowRequest(nowMs)) this.refuse(request, 'unreachable');
+    else this.apply(request, nowMs);
+  }
+
+  private addSuspect(request: GatewayRequest, fingerprint: string): void {
+    const { head, arrivedMs } = request;
+    const spareMs = Math.max(0, head.remainingMs - this.forecast.workMs(head.route));
+    const suspect: SuspectRequest = {
       fingerprint,
-      expiresMs: arrivedMs + Math.min(LONGEST_SUSPECT_WAIT_MS, spareTimeMs),
-      begin: () => this.beginAlone(visit),
+      expiresMs: arrivedMs + Math.min(MAX_SUSPECT_WAIT_MS, spareMs),
+      start: () => this.startAlone(request),
       refuse: () => {
-        this.refuse(visit, this.stopped ? 'leaving' : 'busy');
+        this.refuse(request, this.stopped ? 'leaving' : 'busy');
       },
-      reconsider: () => {
-        visit.suspect = null;
-        this.consider(visit);
+      reevaluate: () => {
+        request.suspect = null;
+        this.evaluate(request);
       },
     };
-    visit.suspect = suspect;
+    request.suspect = suspect;
     this.suspects.add(suspect);
-    this.stepSoon();
+    this.scheduleCheck();
   }
 
-  private beginAlone(visit: Visit): boolean {
-    this.admission.beginPast({
-      priority: visit.head.priority,
+  private startAlone(request: GatewayRequest): boolean {
+    this.admission.startBypassingQueue({
+      priority: request.head.priority,
       order: 0,
       reserve: 0,
       expiresMs: Infinity,
       start: () => {
-        this.start(visit);
+        this.start(request);
       },
       expire: () => undefined,
     });
-    return visit.run !== null;
+    return request.run !== null;
   }
 
-  private considerKey(visit: Visit, key: number): void {
-    if (this.ports.ownsKey(key)) this.wait(visit, 'not-owner');
-    else this.refuse(visit, 'not-owner');
+  private evaluateKey(request: GatewayRequest, key: number): void {
+    if (this.ports.ownsKey(key)) this.waitForReadiness(request, 'not-owner');
+    else this.refuse(request, 'not-owner');
   }
 
-  private wait(visit: Visit, reason: RefusalReason): void {
-    if (this.ports.runtime.nowMs() >= visit.expiresMs) this.refuse(visit, reason);
+  private waitForReadiness(request: GatewayRequest, reason: RefusalReason): void {
+    if (this.ports.runtime.nowMs() >= request.expiresMs) this.refuse(request, reason);
     else {
-      this.waiting.add(visit);
-      this.stepSoon();
+      this.waiting.add(request);
+      this.scheduleCheck();
     }
   }
 
-  private apply(visit: Visit, nowMs: number): void {
-    const { head, arrivedMs } = visit;
+  private apply(request: GatewayRequest, nowMs: number): void {
+    const { head, arrivedMs } = request;
     const { forecast } = this;
     const meanMs = forecast.workMs(head.route);
-    if (forecast.isTooLateForLink(head, visit)) {
-      this.refuse(visit, 'busy');
+    if (forecast.isTooLateForLink(head, request)) {
+      this.refuse(request, 'busy');
       return;
     }
-    const claim = forecast.claimOf(head, visit);
-    forecast.expectAnswer(head.route, visit);
-    this.countOffered(visit, meanMs);
+    const claim = forecast.claimOf(head, request);
+    forecast.expectAnswer(head.route, request);
+    this.recordOfferedLoad(request, meanMs);
     let waits = false;
-    const applicant: Applicant = {
+    const slotRequest: SlotRequest = {
       priority: forecast.rankOf(head),
       order: placeOrder(claim, arrivedMs, meanMs),
       reserve: spareMs(claim, meanMs) > 0 ? forecast.reserveOf(head) : forecast.lateReserveOf(head),
       expiresMs: nowMs + placeWaitMs(claim, nowMs - arrivedMs, meanMs),
       start: () => {
-        this.start(visit);
+        this.start(request);
       },
       expire: () => {
-        // A caller that is told at once comes back in time; one that has waited, or come back, gains no more by that.
-        if (waits || head.spentMs > 0) this.applyLate(visit);
-        else this.refuse(visit, 'busy');
+        // An immediate refusal leaves the caller time to retry; a request that has waited or is a retry gains nothing.
+        if (waits || head.spentMs > 0) this.applyLate(request);
+        else this.refuse(request, 'busy');
       },
     };
-    visit.applicant = applicant;
-    this.admission.apply(applicant, nowMs);
+    request.slotRequest = slotRequest;
+    this.admission.apply(slotRequest, nowMs);
     waits = true;
-    if (this.admission.waitingCount > 0) this.stepSoon();
+    if (this.admission.waitingCount > 0) this.scheduleCheck();
   }
 
-  /** Goes on waiting, behind all that can be in time, as long as such waiting brings answers. */
-  private applyLate(visit: Visit): void {
-    const { head, arrivedMs } = visit;
+  /** Queues a request behind all that can meet their target latency, while such waits mostly end with a slot. */
+  private applyLate(request: GatewayRequest): void {
+    const { head, arrivedMs } = request;
     const nowMs = this.ports.runtime.nowMs();
     const { forecast } = this;
-    const claim = forecast.claimOf(head, visit);
+    const claim = forecast.claimOf(head, request);
     const waitMs = lateWaitMs(claim, nowMs - arrivedMs, forecast.workMs(head.route));
-    const missesLink = forecast.hasMissedLink(head, visit, nowMs - arrivedMs);
-    const possible = policyIsOn('late-waiting') && !this.stopped && waitMs > 0 && !missesLink;
-    if (!possible || !this.lateOutlook.mayWait(waitMs, this.admission.slots, nowMs)) {
-      this.refuse(visit, 'busy');
+    const missesLink = forecast.isTooLateForLinkAfterWait(head, request, nowMs - arrivedMs);
+    const mayBeAnswered = policyIsOn('late-waiting') && !this.stopped && waitMs > 0 && !missesLink;
+    if (!mayBeAnswered || !this.lateOutlook.mayWait(waitMs, this.admission.slots, nowMs)) {
+      this.refuse(request, 'busy');
       return;
     }
     this.lateOutlook.begin();
-    visit.late = true;
-    const applicant: Applicant = {
+    request.waitsLate = true;
+    const slotRequest: SlotRequest = {
       priority: head.priority,
       order: lateOrder(claim, arrivedMs),
       reserve: forecast.lateReserveOf(head),
       expiresMs: nowMs + waitMs,
       start: () => {
-        this.endLateWait(visit, 'place');
-        this.start(visit);
+        this.endLateWait(request, 'place');
+        this.start(request);
       },
       expire: () => {
-        this.endLateWait(visit, 'in-vain');
-        this.refuse(visit, 'busy');
+        this.endLateWait(request, 'in-vain');
+        this.refuse(request, 'busy');
       },
     };
-    visit.applicant = applicant;
-    this.admission.apply(applicant, nowMs);
-    if (this.admission.waitingCount > 0) this.stepSoon();
+    request.slotRequest = slotRequest;
+    this.admission.apply(slotRequest, nowMs);
+    if (this.admission.waitingCount > 0) this.scheduleCheck();
   }
 
-  private endLateWait(visit: Visit, outcome: LateWaitOutcome): void {
-    if (!visit.late) return;
-    visit.late = false;
+  private endLateWait(request: GatewayRequest, outcome: LateWaitOutcome): void {
+    if (!request.waitsLate) return;
+    request.waitsLate = false;
     this.lateOutlook.end(outcome, this.ports.runtime.nowMs());
   }
 
-  /** Load counts when it is asked for, so that a back end that is asked for too much does not look just full. */
-  private countOffered(visit: Visit, meanMs: number): void {
-    if (!policyIsOn('offered-load') || visit.offeredMs > 0) return;
-    visit.offeredMs = meanMs;
-    this.ports.onWork(visit.head.key, meanMs);
+  /**
+   * Reports the expected slot time as load on arrival rather than on completion, so that an overloaded back end is not
+   * taken for one that is merely fully used.
+   */
+  private recordOfferedLoad(request: GatewayRequest, meanMs: number): void {
+    if (!policyIsOn('offered-load') || request.offeredMs > 0) return;
+    request.offeredMs = meanMs;
+    this.ports.onWork(request.head.key, meanMs);
   }
 
-  /** What held when the request came must hold still when it leaves. */
-  private start(visit: Visit): void {
+  /** Sends a request that has got a slot, after repeating the checks that it passed on arrival. */
+  private start(request: GatewayRequest): void {
     const { ports } = this;
-    const { head } = visit;
+    const { head } = request;
     const nowMs = ports.runtime.nowMs();
     const stale = nowMs >= ports.closesAtMs() || ports.instance() !== head.instance;
     const keyLost = head.key !== null && !ports.holdsKey(head.key);
-    const waitedMs = nowMs - visit.arrivedMs;
+    const waitedMs = nowMs - request.arrivedMs;
     const leftMs = head.remainingMs - waitedMs;
-    visit.startedMs = nowMs;
-    if (stale || keyLost || this.isTooLate(visit, leftMs, waitedMs)) {
+    request.startedMs = nowMs;
+    if (stale || keyLost || this.isTooLate(request, leftMs, waitedMs)) {
       this.admission.leave(this.admission.serviceMs);
-      if (keyLost && !stale) this.considerKey(visit, head.key ?? 0);
-      else this.refuse(visit, stale ? 'leaving' : 'busy');
+      if (keyLost && !stale) this.evaluateKey(request, head.key ?? 0);
+      else this.refuse(request, stale ? 'leaving' : 'busy');
       return;
     }
-    if (this.isHeldByRecord(visit)) {
+    if (this.isRestrictedByCrashRecord(request)) {
       this.admission.leave(this.admission.serviceMs);
-      this.considerRecord(visit, nowMs);
+      this.evaluateCrashRecord(request, nowMs);
       return;
     }
-    ports.latencies.observe('waiting', ports.service, nowMs - visit.arrivedMs);
-    visit.alone = this.running.size === 0;
+    ports.latencies.observe('waiting', ports.service, nowMs - request.arrivedMs);
+    request.alone = this.running.size === 0;
     for (const other of this.running) other.alone = false;
-    this.running.add(visit);
+    this.running.add(request);
     this.counters.runs += 1;
-    visit.run = ports.backend.prepare(visit.head, visit.body, leftMs, {
+    request.run = ports.backend.prepare(request.head, request.body, leftMs, {
       status: () => this.status(),
-      timing: () => this.timingOf(visit),
-      reply: this.replyOf(visit),
+      timing: () => this.timingOf(request),
+      reply: this.replyOf(request),
       onDone: (outcome) => {
-        this.finished(visit, outcome);
+        this.handleDone(request, outcome);
       },
     });
-    visit.run.start();
+    request.run.start();
   }
 
-  /** Whether back ends have ended under it while it waited for a place, so that it may not begin beside others. */
-  private isHeldByRecord({ identity, suspect }: Visit): boolean {
-    const { stage } = this.ports.guard.judge(identity);
+  /** Whether the request was quarantined or became a suspect while it waited, so that it must not run beside others. */
+  private isRestrictedByCrashRecord({ identity, suspect }: GatewayRequest): boolean {
+    const { stage } = this.ports.guard.classify(identity);
     return stage === 'quarantined' || (stage === 'suspect' && suspect === null);
   }
 
-  private replyOf({ reply }: Visit): RequestReply {
+  private replyOf({ reply }: GatewayRequest): RequestReply {
     const fail = (failure: FailureHead): void => {
-      this.reports.fail(failure, (head) => {
+      this.reporter.fail(failure, (head) => {
         reply.fail(head);
       });
     };
     return { ...reply, fail };
   }
 
-  /** Whether the work, or its answer on the network link, would come too late to be worth its place. */
-  private isTooLate(visit: Visit, leftMs: number, waitedMs: number): boolean {
-    const { head } = visit;
-    const workLeftMs = leftMs - this.forecast.sendMs(head.route, visit);
+  /** Whether the work, or the transfer of its answer over the network link, would end too late to be of use. */
+  private isTooLate(request: GatewayRequest, leftMs: number, waitedMs: number): boolean {
+    const { head } = request;
+    const workLeftMs = leftMs - this.forecast.sendMs(head.route, request);
     const tooLate = isTooLateToBegin(workLeftMs, this.forecast.workMs(head.route));
-    return tooLate || this.forecast.hasMissedLink(head, visit, waitedMs);
+    return tooLate || this.forecast.isTooLateForLinkAfterWait(head, request, waitedMs);
   }
 
-  private timingOf({ arrivedMs, startedMs }: Visit): AnswerTiming {
+  private timingOf({ arrivedMs, startedMs }: GatewayRequest): AnswerTiming {
     const backendMs = Math.round(this.ports.runtime.nowMs() - startedMs);
     return { waitedMs: Math.round(startedMs - arrivedMs), backendMs };
   }
 
-  private finished(visit: Visit, outcome: RunOutcome): void {
-    if (visit.done) return;
-    visit.done = true;
-    this.forecast.forgetAnswer(visit);
-    this.running.delete(visit);
-    const usedMs = this.ports.runtime.nowMs() - visit.startedMs;
-    if (outcome.kind === 'answered') this.learn(visit.head.route, usedMs, outcome);
+  private handleDone(request: GatewayRequest, outcome: RunOutcome): void {
+    if (request.done) return;
+    request.done = true;
+    this.forecast.discardExpectedAnswer(request);
+    this.running.delete(request);
+    const usedMs = this.ports.runtime.nowMs() - request.startedMs;
+    if (outcome.kind === 'answered') this.recordAnswer(request.head.route, usedMs, outcome);
     this.ports.latencies.observe('backend', this.ports.service, usedMs);
-    this.ports.onWork(visit.head.key, usedMs - visit.offeredMs);
-    this.count(visit, outcome, usedMs);
+    this.ports.onWork(request.head.key, usedMs - request.offeredMs);
+    this.count(request, outcome, usedMs);
     this.admission.leave(outcome.kind === 'answered' ? usedMs : Math.max(usedMs, this.admission.serviceMs));
-    const { suspect } = visit;
+    const { suspect } = request;
     if (suspect === null) return;
-    // Another daemon may try it next only when it is known whether this one has lost its back end.
-    this.reports.whenKnown(outcome, () => {
-      this.suspects.ended(suspect);
+    // The permit is released only when it is known whether this back end has crashed; then another daemon may run it.
+    this.reporter.afterEndCheck(outcome, () => {
+      this.suspects.onRunEnded(suspect);
     });
   }
 
-  private learn(route: string, usedMs: number, { bytes, pace }: AnsweredRun): void {
+  private recordAnswer(route: string, usedMs: number, { bytes, pace }: AnsweredRun): void {
     const { forecast } = this;
     const unreadableBefore = forecast.unreadableFigures;
-    forecast.learn({ route, usedMs, bytes, pace });
-    // One line is enough: the counter tells how many there were.
+    forecast.recordAnswer({ route, usedMs, bytes, pace });
+    // Only the first one is logged; a counter holds the total.
     const isFirst = unreadableBefore === 0 && forecast.unreadableFigures > 0;
     if (isFirst) this.ports.log.event('figure-unreadable', { figure: 'pace' });
   }
 
-  private count(visit: Visit, outcome: RunOutcome, usedMs: number): void {
+  private count(request: GatewayRequest, outcome: RunOutcome, usedMs: number): void {
     this.counters.slotMs[slotTimeUse(outcome)] += usedMs;
     if (outcome.kind === 'answered') this.counters.answered += 1;
     if (outcome.kind === 'declined') this.counters.refused.declined += 1;
     if (outcome.kind === 'broken') this.counters.broken += 1;
-    this.trials.noteRun(outcome.kind === 'broken');
-    const { requestId, instance, key } = visit.head;
-    const { identity, alone } = visit;
-    const fingerprint = this.reports.report({ requestId, identity, alone, usedMs }, outcome);
+    this.circuitBreaker.recordRun(outcome.kind === 'broken');
+    const { requestId, instance, key } = request.head;
+    const { identity, alone } = request;
+    const fingerprint = this.reporter.report({ requestId, identity, alone, usedMs }, outcome);
     if (outcome.kind === 'answered') return;
     const fields = { requestId, instance, key, outcome, usedMs: Math.round(usedMs), fingerprint };
     this.ports.log.failure('run-ended', fields);
   }
 
-  private refuse(visit: Visit, reason: RefusalReason): void {
-    if (visit.done) return;
-    visit.done = true;
-    this.forecast.forgetAnswer(visit);
+  private refuse(request: GatewayRequest, reason: RefusalReason): void {
+    if (request.done) return;
+    request.done = true;
+    this.forecast.discardExpectedAnswer(request);
     this.counters.refused[reason] += 1;
-    const { requestId, instance, key, route } = visit.head;
-    const waitedMs = Math.round(this.ports.runtime.nowMs() - visit.arrivedMs);
-    const leftMs = Math.round(visit.head.remainingMs - waitedMs);
+    const { requestId, instance, key, route } = request.head;
+    const waitedMs = Math.round(this.ports.runtime.nowMs() - request.arrivedMs);
+    const leftMs = Math.round(request.head.remainingMs - waitedMs);
     const status = this.status();
     const fields = { requestId, reason, instance, key, route, waitedMs, leftMs };
     this.ports.log.failure('request-refused', { ...fields, ...status });
-    // Work that finds no place is load of its key as well.
-    if (reason === 'busy' && visit.offeredMs === 0) this.ports.onWork(key, this.admission.serviceMs);
-    visit.reply.refuse({ reason, arrived: false, retryAfterMs: this.retryAfterMs(reason), status });
+    // A request that got no slot counts as load of its key, too.
+    if (reason === 'busy' && request.offeredMs === 0) this.ports.onWork(key, this.admission.serviceMs);
+    request.reply.refuse({ reason, arrived: false, retryAfterMs: this.retryAfterMs(reason), status });
   }
 
-  /** When a caller that comes back would find a place in time, in ms. */
+  /** Returns the delay in ms after which a retry can expect a slot in time. */
   private retryAfterMs(reason: RefusalReason): number {
-    if (reason !== 'busy') return RETRY_AFTER_CHANGE_MS;
+    if (reason !== 'busy') return DEFAULT_RETRY_AFTER_MS;
     const { serviceMs, waitingCount, slots } = this.admission;
     const coldMs = this.ports.coldLimit.delayMs(waitingCount, this.ports.runtime.steadyMs());
     const queueMs = Math.max(coldMs, (serviceMs * (waitingCount + 1)) / slots);
-    return Math.round(Math.min(LONGEST_RETRY_AFTER_MS, queueMs));
+    return Math.round(Math.min(MAX_BUSY_RETRY_AFTER_MS, queueMs));
   }
 
-  private cancel(visit: Visit): void {
-    if (visit.done) return;
-    this.forgetWaiting(visit);
-    if (visit.applicant !== null) this.admission.withdraw(visit.applicant);
-    this.endLateWait(visit, 'withdrawn');
-    const { run } = visit;
+  private cancel(request: GatewayRequest): void {
+    if (request.done) return;
+    this.removeFromQueues(request);
+    if (request.slotRequest !== null) this.admission.withdraw(request.slotRequest);
+    this.endLateWait(request, 'withdrawn');
+    const { run } = request;
     if (run === null) {
-      this.forecast.forgetAnswer(visit);
-      visit.done = true;
+      this.forecast.discardExpectedAnswer(request);
+      request.done = true;
       return;
     }
     run.cancel();
-    this.finished(visit, { kind: 'cancelled' });
+    this.handleDone(request, { kind: 'cancelled' });
   }
 
-  /** The caller's daemon has no more use for it, if it has not begun, and wants to know. */
-  private withdraw(visit: Visit): void {
-    this.forgetWaiting(visit);
-    if (visit.applicant !== null) this.admission.withdraw(visit.applicant);
-    this.endLateWait(visit, 'withdrawn');
-    this.refuse(visit, 'cancelled');
+  /** Withdraws a request that has not started, on behalf of the caller's daemon, which expects a refusal. */
+  private withdraw(request: GatewayRequest): void {
+    this.removeFromQueues(request);
+    if (request.slotRequest !== null) this.admission.withdraw(request.slotRequest);
+    this.endLateWait(request, 'withdrawn');
+    this.refuse(request, 'cancelled');
   }
 
-  private forgetWaiting(visit: Visit): void {
-    this.waiting.delete(visit);
-    if (visit.suspect !== null && visit.run === null) this.suspects.remove(visit.suspect);
+  private removeFromQueues(request: GatewayRequest): void {
+    this.waiting.delete(request);
+    if (request.suspect !== null && request.run === null) this.suspects.remove(request.suspect);
   }
 
   private oldestRunMs(): number {
@@ -551,24 +558,25 @@
     return first.done === true ? 0 : this.ports.runtime.nowMs() - first.value.startedMs;
   }
 
-  /** Looks at what waits as long as anything does. */
-  private stepSoon(): void {
-    this.cancelStep ??= this.ports.runtime.after(STEP_MS, () => {
-      this.cancelStep = null;
-      this.step();
-      if (this.waiting.size > 0 || this.admission.waitingCount > 0 || this.suspects.active) this.stepSoon();
+  /** Schedules checks of the waiting requests for as long as there are any. */
+  private scheduleCheck(): void {
+    this.cancelCheck ??= this.ports.runtime.after(CHECK_INTERVAL_MS, () => {
+      this.cancelCheck = null;
+      this.checkWaiting();
+      if (this.waiting.size > 0 || this.admission.waitingCount > 0 || this.suspects.hasWork)
+        this.scheduleCheck();
     });
   }
 
-  private step(): void {
+  private checkWaiting(): void {
     const nowMs = this.ports.runtime.nowMs();
-    this.admission.fill();
+    this.admission.grantFreeSlots();
     this.admission.expireBefore(nowMs);
-    this.suspects.step();
-    for (const visit of [...this.waiting]) {
-      if (nowMs < visit.expiresMs && nowMs < this.ports.closesAtMs()) continue;
-      this.waiting.delete(visit);
-      this.consider(visit);
+    this.suspects.check();
+    for (const request of [...this.waiting]) {
+      if (nowMs < request.expiresMs && nowMs < this.ports.closesAtMs()) continue;
+      this.waiting.delete(request);
+      this.evaluate(request);
     }
   }
 }
@@ -577,7 +585,7 @@
   return { method, host: headerValue(headers, 'host'), path, headers, key, body };
 }
 
-/** A factor as it travels: two digits say as much as is known. */
-function rounded(factor: number): number {
+/** Rounds a factor for transmission; more than two decimal places would exceed its precision. */
+function roundToHundredths(factor: number): number {
   return Math.round(factor * 100) / 100;
 }
--- a/src/sidecar/backend-pace.ts
+++ b/src/sidecar/backend-pace.ts
@@ -1,64 +1,64 @@
 /**
- * How long work takes at one back end at this moment, against the usual. Back ends share their machines with others, so
- * this changes many times a second; what was told a while ago says less than the mean of the past.
+ * Pace of one back end: its current processing time as a factor of the usual one. Back ends share their machines with
+ * other processes, so the pace changes many times a second; an older report predicts it less well than the mean.
  */
 import { policyIsOn } from '../policy-switches.js';
 
-/** Weight of the newest figure in the mean, once there are many. */
-const NEWEST_WEIGHT = 0.05;
+/** Weight of the newest report in the mean, once there are enough reports. */
+const MIN_EWMA_WEIGHT = 0.05;
 
-/** Time in ms after which a figure that was told counts for about a third; slow spells last some 100 ms. */
-const FADE_MS = 250;
+/** Time in ms after which the weight of a report has decayed to 1/e (about a third); slow phases last some 100 ms. */
+const DECAY_TIME_MS = 250;
 
-/** Bounds of a figure that is believed: a tenth of the usual time, and twenty times as long. */
-const LEAST_PACE = 0.1;
-const LARGEST_PACE = 20;
+/** Range to which reported paces are clamped: a tenth of the usual processing time to twenty times as long. */
+const MIN_PACE = 0.1;
+const MAX_PACE = 20;
 
-/** The pace at a moment, 1 being the usual, and its mean. */
+/** Current pace and its mean; 1 is the usual pace. */
 export interface Pace {
   readonly now: number;
   readonly mean: number;
 }
 
-const USUAL_PACE: Pace = { now: 1, mean: 1 };
+const NOMINAL_PACE: Pace = { now: 1, mean: 1 };
 
-/** A figure within the bounds of what is believed; null for what is no number. */
-export function believedPace(told: number): number | null {
-  if (!Number.isFinite(told)) return null;
-  return Math.min(LARGEST_PACE, Math.max(LEAST_PACE, told));
+/** Clamps a reported pace to the accepted range; returns null if it is not a finite number. */
+export function clampPace(reported: number): number | null {
+  if (!Number.isFinite(reported)) return null;
+  return Math.min(MAX_PACE, Math.max(MIN_PACE, reported));
 }
 
-/** The pace that is to be expected some time after it was told. */
+/** Returns the expected pace `ageMs` after it was reported; it decays towards the mean. */
 export function fadedPace({ now, mean }: Pace, ageMs: number): number {
-  return mean + (now - mean) * Math.exp(-Math.max(0, ageMs) / FADE_MS);
+  return mean + (now - mean) * Math.exp(-Math.max(0, ageMs) / DECAY_TIME_MS);
 }
 
-/** The pace of one back end as its answers tell it. */
+/** Estimates the pace of one back end from the reports in its answers. */
 export class BackendPace {
-  private told: Pace | null = null;
-  private toldMs = 0;
+  private latest: Pace | null = null;
+  private latestMs = 0;
   private count = 0;
 
-  /** An answer told how long work takes, as a factor on the usual. */
-  note(pace: number, nowMs: number): void {
+  /** Records the pace that an answer reported. */
+  record(pace: number, nowMs: number): void {
     if (!policyIsOn('told-pace')) return;
-    // The usual pace counts as one figure, so that a slow spell at the start is not taken for the mean.
+    // The nominal pace counts as one report, so that a slow phase at the start does not become the mean.
     this.count += 1;
-    const mean = this.told?.mean ?? USUAL_PACE.mean;
-    const weight = Math.max(NEWEST_WEIGHT, 1 / (this.count + 1));
-    this.told = { now: pace, mean: mean + (pace - mean) * weight };
-    this.toldMs = nowMs;
+    const mean = this.latest?.mean ?? NOMINAL_PACE.mean;
+    const weight = Math.max(MIN_EWMA_WEIGHT, 1 / (this.count + 1));
+    this.latest = { now: pace, mean: mean + (pace - mean) * weight };
+    this.latestMs = nowMs;
   }
 
-  /** Another life of the back end has begun. */
+  /** Discards all reports, for a new incarnation of the back end. */
   forget(): void {
-    this.told = null;
+    this.latest = null;
     this.count = 0;
   }
 
-  /** The pace to be expected now; the usual one where nothing was told. */
+  /** Returns the expected pace; the nominal one if nothing was reported. */
   at(nowMs: number): Pace {
-    if (this.told === null) return USUAL_PACE;
-    return { now: fadedPace(this.told, nowMs - this.toldMs), mean: this.told.mean };
+    if (this.latest === null) return NOMINAL_PACE;
+    return { now: fadedPace(this.latest, nowMs - this.latestMs), mean: this.latest.mean };
   }
 }
--- a/src/sidecar/backend-pool.ts
+++ b/src/sidecar/backend-pool.ts
@@ -1,4 +1,4 @@
-/** Connections to one back end: idle ones are used again, the one that rested least first. */
+/** Connection pool of one back end. Idle connections are reused, the most recently used one first. */
 import type { SocketAddress } from '../model/socket-address.js';
 import {
   BackendConnection,
@@ -8,30 +8,30 @@
 } from './backend-connection.js';
 
 /**
- * Longest rest in ms of a connection that is used for a request which must not run twice. Back ends may forget a
- * connection that rests, without a word; such a request would then end with its outcome unknown.
+ * Maximum idle time in ms of a connection that is reused for a request which must not run twice. A back end may drop an
+ * idle connection without closing it; the outcome of such a request would then be unknown.
  */
-const LONGEST_REST_MS = 200;
+const MAX_IDLE_NON_REPEATABLE_MS = 200;
 
-/** A request under way. */
-export interface RunningRequest {
-  /** Breaks the connection off, so that the back end can stop working. */
+/** A request in flight. */
+export interface InFlightRequest {
+  /** Closes the connection, so that the back end can stop processing the request. */
   cancel(): void;
 }
 
 /** Sends requests to one back end. */
 export interface RequestPool {
-  /** Connections that were opened. */
+  /** Number of connections opened so far. */
   readonly opened: number;
   /** Sends a request. */
-  run(request: BackendRequest, handlers: BackendRequestHandlers): RunningRequest;
-  /** Closes all connections; requests under way are broken off without a word. */
+  run(request: BackendRequest, handlers: BackendRequestHandlers): InFlightRequest;
+  /** Closes all connections; requests in flight end without a callback. */
   destroy(): void;
 }
 
-/** Connections to one back end. */
+/** Connection pool of one back end. */
 export class BackendPool implements RequestPool {
-  /** Connections that were opened. */
+  /** Number of connections opened so far. */
   opened = 0;
   private readonly connections = new Set<BackendConnection>();
   private idle: BackendConnection[] = [];
@@ -40,13 +40,14 @@
     private readonly address: SocketAddress,
     private readonly names: ConnectionHeaders,
     private readonly nowMs: () => number,
-    /** The back end's address refused a connection: no process listens there. */
+    /** Called when the back end's address refuses a connection, that is, no process listens there. */
     private readonly onRefused: () => void,
   ) {}
 
   /** Sends a request on an idle connection or a new one. */
-  run(request: BackendRequest, handlers: BackendRequestHandlers): RunningRequest {
-    const connection = this.takeIdle(request.repeatable ? Infinity : LONGEST_REST_MS) ?? this.open();
+  run(request: BackendRequest, handlers: BackendRequestHandlers): InFlightRequest {
+    const connection =
+      this.acquireIdle(request.repeatable ? Infinity : MAX_IDLE_NON_REPEATABLE_MS) ?? this.open();
     connection.run(request, {
       ...handlers,
       onAnswer: (answer) => {
@@ -71,18 +72,18 @@
     };
   }
 
-  /** Closes all connections; requests under way are broken off without a word. */
+  /** Closes all connections; requests in flight end without a callback. */
   destroy(): void {
     for (const connection of [...this.connections]) connection.destroy();
     this.idle = [];
   }
 
-  /** The one that was used last; the others have rested for longer. */
-  private takeIdle(longestRestMs: number): BackendConnection | null {
+  /** Returns the most recently used idle connection, or null if it was idle for longer than `maxIdleMs`. */
+  private acquireIdle(maxIdleMs: number): BackendConnection | null {
     for (;;) {
       const connection = this.idle.at(-1);
       if (connection === undefined) return null;
-      if (connection.usable && connection.restedMs > longestRestMs) return null;
+      if (connection.usable && connection.idleForMs > maxIdleMs) return null;
       this.idle.pop();
       if (connection.usable) return connection;
       connection.destroy();
--- a/src/sidecar/backend-run.ts
+++ b/src/sidecar/backend-run.ts
@@ -1,6 +1,6 @@
 /**
- * One request at the back end. A short answer is kept until it is whole, so that a cut one never reaches the caller;
- * a long one is passed on as it comes.
+ * One request at the back end. A short answer is buffered until it is complete, so that a truncated one never reaches
+ * the caller; a long one is streamed.
  */
 import { idOfLife } from '../model/backend-life.js';
 import type { AnswerTiming, RequestHead, StatusHead } from '../link/link-messages.js';
@@ -8,30 +8,30 @@
 import type { ParsedAnswer } from './answer-parser.js';
 import type { BrokenReason } from './backend-connection.js';
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
-import type { RequestPool, RunningRequest } from './backend-pool.js';
+import type { RequestPool, InFlightRequest } from './backend-pool.js';
 import { endToEndHeaders, headerValue, type HeaderDialect } from './header-dialect.js';
 
-/** Longest answer that is kept until it is whole, in bytes. */
-const MAX_KEPT_BYTES = 1024 * 1024;
+/** Maximum size in bytes of an answer that is buffered until it is complete. */
+const MAX_BUFFERED_BYTES = 1024 * 1024;
 
-/** Status by which a back end says that it is not the one meant, or does not hold the key. */
+/** Status with which a back end rejects a request that is meant for another instance, or whose key it does not hold. */
 export const MISDIRECTED_STATUS = 421;
 const FIRST_SUCCESS_STATUS = 200;
 const FIRST_REDIRECT_STATUS = 300;
 
-/** When to come back after the back end declined a request, in ms. */
+/** Retry delay in ms after the back end declined a request. */
 const DECLINED_RETRY_AFTER_MS = 100;
 
-/** The back end answered, with a success or with a failure of its own. */
+/** The back end sent a complete answer, whether a success or an error of its own. */
 export interface AnsweredRun {
   readonly kind: 'answered';
   readonly statusCode: number;
   readonly bytes: number;
-  /** How long work takes there, as a factor; null when the answer does not tell, NaN when it cannot be read. */
+  /** Reported processing time as a factor of the usual one; null if not reported, NaN if not readable. */
   readonly pace: number | null;
 }
 
-/** How a run ended. */
+/** Outcome of a run. */
 export type RunOutcome =
   | AnsweredRun
   | { readonly kind: 'declined'; readonly statusCode: number }
@@ -44,18 +44,18 @@
   | { readonly kind: 'deadline' }
   | { readonly kind: 'cancelled' };
 
-/** What a run needs of its gateway. */
+/** Dependencies of a run. */
 export interface RunPorts {
   readonly status: () => StatusHead | null;
   readonly timing: () => AnswerTiming;
   readonly reply: RequestReply;
-  /** Called once, unless the run was cancelled. */
+  /** Called once, unless the run is cancelled. */
   readonly onDone: (outcome: RunOutcome) => void;
 }
 
-/** A request that was sent to the back end. */
+/** A request in flight at the back end. */
 export class BackendRun {
-  private request: RunningRequest | null = null;
+  private request: InFlightRequest | null = null;
   private answer: ParsedAnswer | null = null;
   private chunks: Buffer[] = [];
   private bytes = 0;
@@ -76,7 +76,7 @@
   /** Sends the request. */
   start(): void {
     this.cancelTimer = this.after(this.leftMs, () => {
-      this.deadlinePassed();
+      this.handleDeadline();
     });
     const { method, path, requestId } = this.head;
     const { repeatable } = this.head;
@@ -86,10 +86,10 @@
         this.answer = answer;
       },
       onBody: (chunk) => {
-        this.takeBody(chunk);
+        this.receiveBody(chunk);
       },
       onEnd: () => {
-        this.ended();
+        this.handleEnd();
       },
       onBroken: (reason, detail, sent) => {
         this.broken(reason, detail, sent);
@@ -97,7 +97,7 @@
     });
   }
 
-  /** Breaks the run off. */
+  /** Cancels the run. */
   cancel(): void {
     if (this.done) return;
     this.finish();
@@ -117,14 +117,14 @@
     return headers;
   }
 
-  private takeBody(chunk: Buffer): void {
+  private receiveBody(chunk: Buffer): void {
     this.bytes += chunk.length;
     if (this.streaming) {
       this.ports.reply.body(Buffer.from(chunk));
       return;
     }
     this.chunks.push(Buffer.from(chunk));
-    if (this.bytes > MAX_KEPT_BYTES && this.isPassedOn()) this.startStreaming();
+    if (this.bytes > MAX_BUFFERED_BYTES && this.isForwardable()) this.startStreaming();
   }
 
   private startStreaming(): void {
@@ -133,11 +133,11 @@
     this.chunks = [];
   }
 
-  private isPassedOn(): boolean {
+  private isForwardable(): boolean {
     return this.answer !== null && !this.isDeclined(this.answer) && this.defect(this.answer) === null;
   }
 
-  private ended(): void {
+  private handleEnd(): void {
     const { answer, ports } = this;
     if (this.done || answer === null) return;
     this.finish();
@@ -160,8 +160,8 @@
   }
 
   private answeredOutcome({ statusCode, headers }: ParsedAnswer): RunOutcome {
-    const told = headerValue(headers, this.dialect.pace);
-    const pace = told === null ? null : this.dialect.readPace(told);
+    const paceHeader = headerValue(headers, this.dialect.pace);
+    const pace = paceHeader === null ? null : this.dialect.readPace(paceHeader);
     return { kind: 'answered', statusCode, bytes: this.bytes, pace };
   }
 
@@ -169,7 +169,7 @@
     return statusCode === MISDIRECTED_STATUS || headerValue(headers, this.dialect.notRun) !== null;
   }
 
-  /** What shows that an answer is not the back end's own; null when nothing does. */
+  /** Returns what shows that the answer did not come from the back end itself; null if nothing does. */
   private defect({ statusCode, headers }: ParsedAnswer): string | null {
     const isSuccess = statusCode >= FIRST_SUCCESS_STATUS && statusCode < FIRST_REDIRECT_STATUS;
     if (isSuccess && headerValue(headers, this.dialect.seal) === null) return 'a success without a seal';
@@ -205,7 +205,7 @@
       });
   }
 
-  private deadlinePassed(): void {
+  private handleDeadline(): void {
     if (this.done) return;
     this.finish();
     this.request?.cancel();
@@ -220,12 +220,25 @@
     const { statusCode, headers } = answer;
     const status = this.ports.status();
     const timing = this.ports.timing();
-    const said = headerValue(headers, 'content-length');
-    const saysMore = moreFollows || this.head.method === 'HEAD';
-    const contentLength = saysMore && said !== null ? Number(said) : moreFollows ? null : body.length;
+    const declaredLength = headerValue(headers, 'content-length');
+    const usesDeclaredLength = moreFollows || this.head.method === 'HEAD';
+    const contentLength =
+      usesDeclaredLength && declaredLength !== null
+        ? Number(declaredLength)
+        : moreFollows
+          ? null
+          : body.length;
     const { framed } = answer;
-    const passed = endToEndHeaders(headers, NO_LENGTH);
-    const head = { statusCode, headers: passed, moreFollows, contentLength, framed, timing, status };
+    const forwardedHeaders = endToEndHeaders(headers, REPLACED_HEADERS);
+    const head = {
+      statusCode,
+      headers: forwardedHeaders,
+      moreFollows,
+      contentLength,
+      framed,
+      timing,
+      status,
+    };
     this.ports.reply.answer(head, body);
   }
 
@@ -235,5 +248,5 @@
   }
 }
 
-/** The length is given anew towards the caller. */
-const NO_LENGTH: ReadonlySet<string> = new Set(['content-length']);
+/** Headers that are set anew in the answer to the caller. */
+const REPLACED_HEADERS: ReadonlySet<string> = new Set(['content-length']);
--- a/src/sidecar/circuit-breaker.ts
+++ b/src/sidecar/circuit-breaker.ts
@@ -1,31 +1,31 @@
-/** Keeps requests from a life of a back end at which runs break off one after the other, but for one now and then. */
+/** Circuit breaker: withholds requests from a back end whose runs keep breaking, except for occasional probes. */
 
-/** Runs in a row that broke off, after which only one request at a time is let through as a trial. */
-const BROKEN_LIMIT = 4;
+/** Number of consecutive broken runs after which only probes are allowed. */
+const FAILURE_THRESHOLD = 4;
 
-/** Pause between trials, in ms. */
-const TRIAL_PAUSE_MS = 300;
+/** Minimum time in ms between probes. */
+const PROBE_INTERVAL_MS = 300;
 
-/** The trials of one back end. */
-export class BackendTrials {
-  private brokenInRow = 0;
-  private lastTrialMs = -Infinity;
+/** Circuit breaker of one back end. */
+export class CircuitBreaker {
+  private consecutiveFailures = 0;
+  private lastProbeMs = -Infinity;
 
-  /** Another life has begun; what broke off at the one before says nothing of it. */
-  startLife(): void {
-    this.brokenInRow = 0;
+  /** Closes the circuit for a new incarnation: broken runs of the previous one say nothing about it. */
+  reset(): void {
+    this.consecutiveFailures = 0;
   }
 
-  /** A run has ended. */
-  noteRun(isBroken: boolean): void {
-    this.brokenInRow = isBroken ? this.brokenInRow + 1 : 0;
+  /** Records the outcome of a run. */
+  recordRun(isBroken: boolean): void {
+    this.consecutiveFailures = isBroken ? this.consecutiveFailures + 1 : 0;
   }
 
-  /** Whether a request may be sent; one that may is the trial where the back end is on trial. */
-  admits(nowMs: number): boolean {
-    if (this.brokenInRow < BROKEN_LIMIT) return true;
-    if (nowMs - this.lastTrialMs < TRIAL_PAUSE_MS) return false;
-    this.lastTrialMs = nowMs;
+  /** Returns whether a request may be sent; while the circuit is open, an allowed request counts as the probe. */
+  allowRequest(nowMs: number): boolean {
+    if (this.consecutiveFailures < FAILURE_THRESHOLD) return true;
+    if (nowMs - this.lastProbeMs < PROBE_INTERVAL_MS) return false;
+    this.lastProbeMs = nowMs;
     return true;
   }
 }
--- a/src/sidecar/cold-start-limit.ts
+++ b/src/sidecar/cold-start-limit.ts
@@ -1,105 +1,105 @@
 /**
- * How many requests a back end may be sent while it is cold, as after its start. A cold back end that is sent much more
- * than it bears fails and starts cold once more. Pure: every call brings the time.
+ * Limits the request rate of a back end while it is cold, as after its start. A cold back end that gets much more than
+ * it can sustain fails and starts cold again. Pure: every call passes the time.
  */
 import type { ColdStart } from '../directory/directory-state.js';
 import type { ColdStartOutlook } from '../link/link-messages.js';
 
-/** Length in ms of the window in which requests are counted. */
+/** Length in ms of the sliding window in which requests are counted. */
 const WINDOW_MS = 1_000;
 
-/** Time in ms by which the window is taken longer, for requests that travel at different speeds. */
+/** Time in ms by which the window is extended, to allow for varying network latency. */
 const WINDOW_MARGIN_MS = 50;
 
-/** Part of the accepted excess that stays unused, for a request whose sending was not counted here. */
+/** Fraction of the accepted excess that is left unused, as a margin for requests that were not counted here. */
 const UNUSED_SLACK_SHARE = 0.25;
 
-/** Requests that may go at once after a pause. One more than one, so that a pause does not cost a whole interval. */
+/** Burst size after a pause. It is 2 rather than 1, so that a pause does not waste a whole interval. */
 const BURST = 2;
 
-/** Tidings in a row that must say so until a back end that may have become cold counts as warm. */
-const CONFIRMATIONS = 2;
+/** Consecutive warm reports that are required before a back end that may have become cold counts as warm. */
+const REQUIRED_WARM_REPORTS = 2;
 
-/** Longest time in ms for which a back end is believed to stay cold on one tiding. */
+/** Maximum time in ms for which one report can make a back end count as cold. */
 export const LONGEST_COLD_MS = 60_000;
 
-/** By how much the requests that a cold back end gets may exceed what it bears. */
+/** By how much the request rate of a cold back end may exceed what it can sustain. */
 export interface ColdStartBound {
-  /** Factor on what it bears in a second. */
+  /** Factor on the sustainable number of requests per second. */
   readonly factor: number;
-  /** Requests on top of that. */
+  /** Number of requests per second in addition. */
   readonly slack: number;
 }
 
-/** Paces what is sent to one back end while it is cold. Times are ms of the steady clock: only what has passed counts. */
+/** Rate limiter for one cold back end. Times are ms of the monotonic clock: only elapsed time matters. */
 export class ColdStartLimit {
   private coldStart: ColdStart | null = null;
   private coldUntilMs = -Infinity;
-  /** Tidings that are still awaited before it counts as warm. */
-  private unconfirmed = 0;
-  /** When requests were sent in the last window, oldest first. */
+  /** Warm reports still required before the back end counts as warm. */
+  private pendingWarmReports = 0;
+  /** Times at which requests were sent in the last window, oldest first. */
   private readonly sentMs: number[] = [];
-  /** When the next request may go while it is cold. */
-  private nextMs: number;
+  /** Time from which the next request may be sent while the back end is cold. */
+  private nextAllowedMs: number;
 
-  /** What was sent before `startedMs` by an earlier life of this daemon is not known. */
+  /** The first window after `startedMs` is blocked, since a previous process of this daemon may have sent requests. */
   constructor(
     private readonly bound: ColdStartBound,
     startedMs: number,
   ) {
-    this.nextMs = startedMs + WINDOW_MS + WINDOW_MARGIN_MS;
+    this.nextAllowedMs = startedMs + WINDOW_MS + WINDOW_MARGIN_MS;
   }
 
-  /** What the service says; null where it says nothing, and nothing is limited. */
+  /** Sets the service's configuration; null disables the limit. */
   configure(coldStart: ColdStart | null): void {
     this.coldStart = coldStart;
   }
 
-  /** Another life of the back end has begun; it is cold, unless it tells something else. */
-  startLife(toldMs: number | null, nowMs: number): void {
-    this.unconfirmed = 0;
+  /** Resets the state for a new incarnation of the back end, which is cold unless it reports otherwise. */
+  startLife(reportedMs: number | null, nowMs: number): void {
+    this.pendingWarmReports = 0;
     this.coldUntilMs = -Infinity;
-    this.takeTold(toldMs ?? this.coldStart?.durationMs ?? 0, nowMs);
+    this.takeTold(reportedMs ?? this.coldStart?.durationMs ?? 0, nowMs);
   }
 
-  /** The back end tells how long it stays cold, in ms; null when it did not tell. */
-  takeTold(toldMs: number | null, nowMs: number): void {
-    if (toldMs === null) return;
-    this.unconfirmed = toldMs > 0 ? 0 : Math.max(0, this.unconfirmed - 1);
-    this.coldUntilMs = nowMs + Math.min(LONGEST_COLD_MS, toldMs);
+  /** Records how long in ms the back end reports to stay cold; null if it did not report it. */
+  takeTold(reportedMs: number | null, nowMs: number): void {
+    if (reportedMs === null) return;
+    this.pendingWarmReports = reportedMs > 0 ? 0 : Math.max(0, this.pendingWarmReports - 1);
+    this.coldUntilMs = nowMs + Math.min(LONGEST_COLD_MS, reportedMs);
   }
 
-  /** The back end may have become cold unseen: it counts as cold until it has told otherwise. */
+  /** Treats the back end as cold until it has reported otherwise, because it may have become cold unnoticed. */
   assumeCold(): void {
-    this.unconfirmed = CONFIRMATIONS;
+    this.pendingWarmReports = REQUIRED_WARM_REPORTS;
   }
 
-  /** Whether the back end must be taken for cold. */
+  /** Whether the back end counts as cold. */
   isCold(nowMs: number): boolean {
-    return this.coldStart !== null && (this.unconfirmed > 0 || nowMs < this.coldUntilMs);
+    return this.coldStart !== null && (this.pendingWarmReports > 0 || nowMs < this.coldUntilMs);
   }
 
-  /** Time in ms until a request may be sent behind `ahead` others; 0 where nothing is limited. */
+  /** Returns the time in ms until a request may be sent behind `ahead` others; 0 if the rate is not limited. */
   delayMs(ahead: number, nowMs: number): number {
     if (!this.isCold(nowMs)) return 0;
-    return Math.max(0, this.nextFreeMs(nowMs) - nowMs + ahead * this.intervalMs);
+    return Math.max(0, this.nextSendMs(nowMs) - nowMs + ahead * this.intervalMs);
   }
 
-  /** A request is sent now. */
-  noteSent(nowMs: number): void {
+  /** Records that a request is sent. */
+  recordSent(nowMs: number): void {
     if (this.coldStart === null) return;
     this.forget(nowMs);
     this.sentMs.push(nowMs);
     if (!this.isCold(nowMs)) return;
     const earliestMs = nowMs - (BURST - 1) * this.intervalMs;
-    this.nextMs = Math.max(this.nextMs, earliestMs) + this.intervalMs;
+    this.nextAllowedMs = Math.max(this.nextAllowedMs, earliestMs) + this.intervalMs;
   }
 
-  /** How soon further requests are taken; null while nothing is limited. */
-  outlook(nowMs: number): ColdStartOutlook | null {
+  /** Returns the current delay, interval and remaining cold time; null if the rate is not limited. */
+  estimate(nowMs: number): ColdStartOutlook | null {
     if (!this.isCold(nowMs)) return null;
     const leftMs = Math.max(0, this.coldUntilMs - nowMs);
-    const assumedMs = this.unconfirmed > 0 ? (this.coldStart?.durationMs ?? 0) : 0;
+    const assumedMs = this.pendingWarmReports > 0 ? (this.coldStart?.durationMs ?? 0) : 0;
     return {
       delayMs: Math.round(this.delayMs(0, nowMs)),
       intervalMs: Math.round(this.intervalMs),
@@ -112,19 +112,20 @@
     return WINDOW_MS / perSecond;
   }
 
-  /** Requests that may be sent in any window. */
-  private get most(): number {
+  /** Maximum number of requests in any window. */
+  private get maxPerWindow(): number {
     const perSecond = this.coldStart?.requestsPerSecond ?? Infinity;
     const { factor, slack } = this.bound;
     return Math.max(1, Math.floor(perSecond * factor + slack * (1 - UNUSED_SLACK_SHARE)));
   }
 
-  /** Those that were sent while it was warm count as well: they may have arrived when it was cold. */
-  private nextFreeMs(nowMs: number): number {
+  /** Counts requests that were sent while the back end was warm, too: they may have arrived after it became cold. */
+  private nextSendMs(nowMs: number): number {
     this.forget(nowMs);
-    const leaving = this.sentMs[this.sentMs.length - this.most];
-    const windowMs = leaving === undefined ? -Infinity : leaving + WINDOW_MS + WINDOW_MARGIN_MS;
-    return Math.max(this.nextMs, windowMs);
+    const oldestCountedMs = this.sentMs[this.sentMs.length - this.maxPerWindow];
+    const windowMs =
+      oldestCountedMs === undefined ? -Infinity : oldestCountedMs + WINDOW_MS + WINDOW_MARGIN_MS;
+    return Math.max(this.nextAllowedMs, windowMs);
   }
 
   private forget(nowMs: number): void {
--- a/src/sidecar/crash-guard.ts
+++ b/src/sidecar/crash-guard.ts
@@ -1,32 +1,32 @@
-/** What a gateway must know of requests under which back ends have ended, and whom it tells what it saw. */
+/** Interface between a gateway and the crash records: classifies requests, and receives reports of runs. */
 import type { InterruptedRun } from '../quarantine/interrupted-runs.js';
 import type { Judged } from '../quarantine/quarantine-view.js';
 import type { IdentifiedRequest } from '../quarantine/request-fingerprint.js';
 import type { SuspectPermits } from './suspect-scheduler.js';
 
-/** The guard of one gateway. */
+/** Crash guard of one gateway. */
 export interface CrashGuard {
   readonly permits: SuspectPermits;
-  /** What holds for a request at the present back end. */
-  judge(request: IdentifiedRequest): Judged;
-  /** A back end answered a run; told for every run, so that it has to cost nothing while there are no records. */
+  /** Returns the classification of a request at the present back end. */
+  classify(request: IdentifiedRequest): Judged;
+  /** Called for every answered run, so it must be cheap while there are no records. */
   answered(request: IdentifiedRequest, statusCode: number): void;
-  /** The back end does not know itself as the one that a request was meant for, or does not hold its key. */
+  /** Called when the back end rejects a request as meant for another instance, or because it does not hold the key. */
   misdirected(): void;
-  /** A run has ended without an answer; the back end may have ended under it. */
+  /** Called when a run ended without an answer; the back end may have crashed during it. */
   interrupted(run: InterruptedRun): void;
-  /** Resolves once it is known whether the back end has ended under a run that broke off, and that is recorded. */
-  runBroke(): Promise<void>;
+  /** Resolves once it is known whether the back end has ended during a broken run, and an end has been recorded. */
+  checkBackendEnd(): Promise<void>;
 }
 
-/** The guard of a gateway that knows nothing of any request, and tells nobody. */
+/** A guard without crash records: admits every request and reports nothing. */
 export const OPEN_GUARD: CrashGuard = {
-  permits: { holds: () => false, ask: () => undefined, release: () => undefined },
-  judge: () => ({ stage: 'free', fingerprint: null, record: null }),
+  permits: { holds: () => false, request: () => undefined, release: () => undefined },
+  classify: () => ({ stage: 'free', fingerprint: null, record: null }),
   answered: () => undefined,
   misdirected: () => undefined,
   interrupted: () => undefined,
-  runBroke: async () => {
+  checkBackendEnd: async () => {
     await Promise.resolve();
   },
 };
--- a/src/sidecar/crash-watch.ts
+++ b/src/sidecar/crash-watch.ts
@@ -1,4 +1,4 @@
-/** The guard of a sidecar: joins its table, its directory and the back end beside it. */
+/** Crash guard of a sidecar, based on its quarantine table, the directory and the state of the local back end. */
 import type { DirectoryNotice, DirectoryRequest } from '../directory/directory-messages.js';
 import { EndReporter, type EndedLife } from '../quarantine/end-reporter.js';
 import { InterruptedRuns, type InterruptedRun } from '../quarantine/interrupted-runs.js';
@@ -11,23 +11,23 @@
 import type { CrashGuard } from './crash-guard.js';
 import type { SuspectPermits } from './suspect-scheduler.js';
 
-/** What the watch needs of its daemon. */
+/** Dependencies of a crash monitor. */
 export interface CrashWatchPorts {
   readonly runtime: Runtime;
   readonly log: EventLog;
   readonly quarantine: QuarantineView;
-  /** The life of the back end, as long as it does not leave and this daemon does not stop. */
+  /** Returns the present incarnation of the back end; null while it is leaving or this daemon is stopping. */
   readonly life: () => EndedLife | null;
-  /** Asks whether any process listens at the back end's address. */
+  /** Checks whether a process listens at the back end's address. */
   readonly listens: () => Promise<boolean>;
   readonly send: (request: DirectoryRequest) => boolean;
-  /** The back end broke off a run, or holds no key that it was sent work on: it may have begun another life. */
+  /** Called when a run broke, or the back end rejected a key as not its own: it may have restarted. */
   readonly onDoubt: () => void;
-  /** A suspect may run now. */
+  /** Called when a suspect gets a permit to run. */
   readonly onPermit: () => void;
 }
 
-/** The guard of one sidecar. */
+/** Crash monitor of one sidecar. */
 export class CrashWatch implements CrashGuard {
   readonly permits: SuspectPermits;
   private readonly runs = new InterruptedRuns();
@@ -39,26 +39,26 @@
     this.reporter = new EndReporter({ runtime, log, interrupted: this.runs, life, listens, send });
     const isPresent = (id: string): boolean => life()?.id === id;
     this.runPermits = new RunPermits({ runtime, send, isPresent, onPermit });
-    this.permits = this.makePermits();
+    this.permits = this.createPermits();
   }
 
-  /** Times that the back end has ended by itself. */
+  /** Number of unplanned ends of the back end. */
   get ends(): number {
     return this.reporter.ends;
   }
 
   /** See `CrashGuard`. */
-  judge(request: IdentifiedRequest): Judged {
+  classify(request: IdentifiedRequest): Judged {
     return this.ports.quarantine.judge(request, this.version);
   }
 
   /** See `CrashGuard`. */
   answered(request: IdentifiedRequest, statusCode: number): void {
     this.runs.backendAnswered(this.ports.runtime.nowMs());
-    const { record, fingerprint } = this.judge(request);
-    const says = saysOfRun(statusCode);
-    if (record === null || fingerprint === null || says === null) return;
-    this.runPermits.completed(fingerprint, this.version, says === 'good');
+    const { record, fingerprint } = this.classify(request);
+    const verdict = saysOfRun(statusCode);
+    if (record === null || fingerprint === null || verdict === null) return;
+    this.runPermits.completed(fingerprint, this.version, verdict === 'good');
   }
 
   /** See `CrashGuard`. */
@@ -72,23 +72,23 @@
   }
 
   /** See `CrashGuard`. */
-  async runBroke(): Promise<void> {
+  async checkBackendEnd(): Promise<void> {
     this.ports.onDoubt();
     await this.reporter.runBroke();
   }
 
-  /** Another life of the back end has begun, and the one before had not said that it leaves. */
-  lifeReplaced(before: EndedLife): void {
-    this.reporter.lifeReplaced(before);
+  /** Called when a new incarnation of the back end has replaced one that had not announced that it leaves. */
+  lifeReplaced(previous: EndedLife): void {
+    this.reporter.lifeReplaced(previous);
   }
 
-  /** Takes an answer of the directory. */
+  /** Handles a notice from the directory. */
   receive(notice: DirectoryNotice): void {
     if (notice.kind === 'end-recorded') this.reporter.receive(notice);
     if (notice.kind === 'run-permitted') this.runPermits.receive(notice);
   }
 
-  /** Reports no more. */
+  /** Stops reporting. */
   stop(): void {
     this.reporter.stop();
   }
@@ -97,8 +97,8 @@
     return this.ports.life()?.version ?? '';
   }
 
-  /** Permits of the life that is beside this daemon now. */
-  private makePermits(): SuspectPermits {
+  /** Creates the view of the permits that is restricted to the present incarnation. */
+  private createPermits(): SuspectPermits {
     const { runPermits } = this;
     const { life } = this.ports;
     return {
@@ -106,7 +106,7 @@
         const present = life();
         return present !== null && runPermits.holds(fingerprint, present.id);
       },
-      ask: (fingerprint) => {
+      request: (fingerprint) => {
         const present = life();
         if (present !== null) runPermits.ask(fingerprint, present);
       },
--- a/src/sidecar/gateway-counters.ts
+++ b/src/sidecar/gateway-counters.ts
@@ -2,13 +2,13 @@
 import type { RefusalReason } from '../link/link-messages.js';
 import type { RunOutcome } from './backend-run.js';
 
-/** How slot time was spent: for a success, for an answer that tells of a failure, or for no answer. */
+/** Use of slot time: for a successful answer, an error answer, or no answer. */
 export type SlotTimeUse = 'success' | 'failure' | 'none';
 
-/** Counters of the gateway. */
+/** Counters of a gateway. */
 export interface GatewayCounters {
   requests: number;
-  /** Slot time in ms, by what it was spent for. */
+  /** Slot time in ms by use. */
   readonly slotMs: Record<SlotTimeUse, number>;
   runs: number;
   answered: number;
@@ -16,8 +16,8 @@
   refused: Record<RefusalReason, number>;
 }
 
-/** New counters. */
-export function gatewayCounters(): GatewayCounters {
+/** Creates counters at zero. */
+export function createGatewayCounters(): GatewayCounters {
   return {
     requests: 0,
     slotMs: { success: 0, failure: 0, none: 0 },
@@ -37,10 +37,10 @@
   };
 }
 
-/** Statuses from here on tell of a failure at the back end. */
+/** Lowest status that counts as a failure of the back end. */
 const FIRST_FAILURE_STATUS = 500;
 
-/** What the slot time of a run was spent for. */
+/** Returns what the slot time of a run was used for. */
 export function slotTimeUse(outcome: RunOutcome): SlotTimeUse {
   if (outcome.kind !== 'answered') return 'none';
   return outcome.statusCode < FIRST_FAILURE_STATUS ? 'success' : 'failure';
--- a/src/sidecar/run-reporter.ts
+++ b/src/sidecar/run-reporter.ts
@@ -1,6 +1,6 @@
 /**
- * What the ended runs of one gateway show of their requests, and when callers are told of broken ones: a caller comes back
- * at once after a failure, so it is told only when other daemons know what there is to know.
+ * Reports the ended runs of one gateway to its crash guard, and delays the failures of broken runs. A caller retries
+ * immediately after a failure, so it gets the failure only after a crash has been recorded for other daemons to see.
  */
 import type { FailureHead } from '../link/link-messages.js';
 import { fingerprintOf, type IdentifiedRequest } from '../quarantine/request-fingerprint.js';
@@ -9,64 +9,71 @@
 import type { CrashGuard } from './crash-guard.js';
 
 /** A run that has ended. */
-export interface ReportedRun {
+export interface EndedRun {
   readonly requestId: string;
   readonly identity: IdentifiedRequest;
-  /** Whether nothing else ran at the back end meanwhile. */
+  /** Whether no other request ran at the back end at the same time. */
   readonly alone: boolean;
   readonly usedMs: number;
 }
 
-/** The reports of one gateway. */
-export class RunReports {
-  /** Answers to broken runs that wait until it is known whether the back end has ended. */
-  private readonly held = new Set<() => void>();
+/** Run reporter of one gateway. */
+export class RunReporter {
+  /** Failures of broken runs that are held until it is known whether the back end has ended. */
+  private readonly pendingFailures = new Set<() => void>();
 
   constructor(
     private readonly guard: CrashGuard,
     private readonly runtime: Runtime,
   ) {}
 
-  /** Reports how a run ended; returns the fingerprint of one that its back end may have ended under. */
-  report({ requestId, identity, alone, usedMs }: ReportedRun, outcome: RunOutcome): string | undefined {
+  /** Reports the outcome of a run; returns the request's fingerprint if the back end may have ended during the run. */
+  report({ requestId, identity, alone, usedMs }: EndedRun, outcome: RunOutcome): string | undefined {
     if (outcome.kind === 'answered') this.guard.answered(identity, outcome.statusCode);
     if (outcome.kind === 'declined' && outcome.statusCode === MISDIRECTED_STATUS) this.guard.misdirected();
-    const byBackend = isBroken(outcome);
-    const wasBrokenOff = outcome.kind === 'cancelled' || outcome.kind === 'deadline';
-    if (!byBackend && !wasBrokenOff) return undefined;
+    const byBackend = isConnectionBroken(outcome);
+    const cancelledByGateway = outcome.kind === 'cancelled' || outcome.kind === 'deadline';
+    if (!byBackend && !cancelledByGateway) return undefined;
     const endedMs = this.runtime.nowMs();
     const fingerprint = fingerprintOf(identity);
-    const rounded = Math.round(usedMs);
-    this.guard.interrupted({ requestId, fingerprint, byBackend, alone, endedMs, usedMs: rounded });
+    const roundedMs = Math.round(usedMs);
+    this.guard.interrupted({
+      requestId,
+      fingerprint,
+      byBackend,
+      alone,
+      endedMs,
+      usedMs: roundedMs,
+    });
     return fingerprint;
   }
 
-  /** Calls back once it is known and recorded what a run has shown; at once, unless it broke off. */
-  whenKnown(outcome: RunOutcome, then: () => void): void {
-    if (isBroken(outcome)) void this.guard.runBroke().then(then);
-    else then();
+  /** Calls back once the end of a broken run has been checked and recorded; immediately for other outcomes. */
+  afterEndCheck(outcome: RunOutcome, callback: () => void): void {
+    if (isConnectionBroken(outcome)) void this.guard.checkBackendEnd().then(callback);
+    else callback();
   }
 
-  /** Tells the caller's daemon of a failure as soon as that is known. */
-  fail(failure: FailureHead, tell: (failure: FailureHead) => void): void {
+  /** Delivers a failure to the caller's daemon; that of a broken run only after the end check. */
+  fail(failure: FailureHead, deliver: (failure: FailureHead) => void): void {
     if (failure.reason !== 'broken') {
-      tell(failure);
+      deliver(failure);
       return;
     }
-    const tellOnce = (): void => {
-      if (this.held.delete(tellOnce)) tell(failure);
+    const deliverOnce = (): void => {
+      if (this.pendingFailures.delete(deliverOnce)) deliver(failure);
     };
-    this.held.add(tellOnce);
-    void this.guard.runBroke().then(tellOnce);
+    this.pendingFailures.add(deliverOnce);
+    void this.guard.checkBackendEnd().then(deliverOnce);
   }
 
-  /** Tells of all failures that are held: once a daemon has said goodbye, what has no answer counts as not run. */
+  /** Delivers all held failures. After a daemon's goodbye its peers treat requests without an answer as not run. */
   flush(): void {
-    for (const tellOnce of [...this.held]) tellOnce();
+    for (const deliverOnce of [...this.pendingFailures]) deliverOnce();
   }
 }
 
-/** Whether the back end broke the connection of a run that had reached it. */
-function isBroken(outcome: RunOutcome): boolean {
+/** Whether the back end closed the connection of a run that may have reached it. */
+function isConnectionBroken(outcome: RunOutcome): boolean {
   return outcome.kind === 'broken' && outcome.reason === 'broken' && outcome.sent;
 }
--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -374,7 +374,7 @@
         this.keys.doubtLife();
       },
       onPermit: () => {
-        this.gateway.suspects.step();
+        this.gateway.suspects.check();
       },
     });
   }
--- a/src/sidecar/suspect-scheduler.ts
+++ b/src/sidecar/suspect-scheduler.ts
@@ -1,120 +1,120 @@
 /**
- * Runs of suspects at one back end: by permit, one after the other, and each with the back end to itself. An end of the
- * back end then shows which request did it, and takes no other with it.
+ * Schedules suspect requests, those that may have crashed back ends, at one back end. Each needs a permit and runs in
+ * isolation, one at a time. A crash of the back end can then be attributed to one request and hits no others.
  */
 import type { Runtime } from '../runtime/runtime.js';
 
 /**
- * Longest time in ms in which a back end is emptied for a suspect. Nothing new begins there meanwhile, so it is kept to
- * what most work takes.
+ * Maximum time in ms to drain the back end for a suspect. No other request starts meanwhile, so this is limited to the
+ * duration of most work.
  */
-const LONGEST_DRAIN_MS = 800;
+const MAX_DRAIN_MS = 800;
 
 /**
- * Longest time in ms for which a suspect has the back end to itself. After that others begin beside it, so that calls
- * which it makes to its own service do not wait for it for ever; its end is no proof then.
+ * Maximum time in ms for which a suspect runs in isolation. After that other requests start beside it, so that calls
+ * which it makes to its own service do not deadlock; a later crash no longer proves that the suspect caused it.
  */
-const LONGEST_ALONE_MS = 1_000;
+const MAX_ISOLATION_MS = 1_000;
 
-/** A request that waits to run as a suspect. */
-export interface Suspect {
+/** A suspect request that waits to run. */
+export interface SuspectRequest {
   readonly fingerprint: string;
-  /** When it gives up waiting, in ms of the daemon's clock. */
+  /** Time in ms of the daemon's clock at which the request stops waiting. */
   readonly expiresMs: number;
-  /** Begins the run now; false when it cannot run any more, and has ended otherwise. */
-  begin(): boolean;
-  /** Ends it without a run. */
+  /** Starts the run; returns false if the request could no longer run and was disposed of otherwise. */
+  start(): boolean;
+  /** Refuses the request without running it. */
   refuse(): void;
-  /** It waits no more as a suspect; what is known of it may have changed. */
-  reconsider(): void;
+  /** Evaluates the request anew after its removal from the queue, since its crash record may have changed. */
+  reevaluate(): void;
 }
 
-/** Permits to run suspects at one back end. */
+/** Permits to run suspects at one back end, granted by the directory. */
 export interface SuspectPermits {
-  /** Whether a request may be run by the present life. */
+  /** Whether the present incarnation of the back end has a permit for the request. */
   holds(fingerprint: string): boolean;
-  /** Asks for a permit, unless that was done a moment ago. */
-  ask(fingerprint: string): void;
-  /** The permit is given back; `begun`: a run of it may have begun. */
+  /** Requests a permit, unless one was requested a moment ago. */
+  request(fingerprint: string): void;
+  /** Releases the permit. `begun` tells whether the request may have been run. */
   release(fingerprint: string, begun: boolean): void;
 }
 
-/** What the suspects need of their gateway. */
-export interface SuspectRunsPorts {
+/** Dependencies of a scheduler. */
+export interface SuspectSchedulerPorts {
   readonly runtime: Runtime;
   readonly permits: SuspectPermits;
-  /** Whether nothing runs at the back end, and a request may be sent to it now. */
-  readonly isFree: () => boolean;
-  /** Begins nothing but suspects from now on. */
+  /** Whether no request is in flight at the back end and one may be sent now. */
+  readonly canRunAlone: () => boolean;
+  /** Starts no requests other than suspects until `resume`. */
   readonly pause: () => void;
   readonly resume: () => void;
 }
 
-/** The suspect that has the back end, or is to have it. */
-interface Turn {
-  readonly suspect: Suspect;
+/** The suspect that is running, or for which the back end is being drained. */
+interface IsolatedRun {
+  readonly suspect: SuspectRequest;
   readonly sinceMs: number;
   begun: boolean;
   alone: boolean;
 }
 
-/** The suspects of one back end. */
-export class SuspectRuns {
-  private readonly waiting = new Set<Suspect>();
-  private turn: Turn | null = null;
+/** Schedules the suspects at one back end. */
+export class SuspectScheduler {
+  private readonly waiting = new Set<SuspectRequest>();
+  private current: IsolatedRun | null = null;
 
-  constructor(private readonly ports: SuspectRunsPorts) {}
+  constructor(private readonly ports: SuspectSchedulerPorts) {}
 
-  /** Suspects that wait. */
+  /** Number of suspects that wait. */
   get waitingCount(): number {
     return this.waiting.size;
   }
 
-  /** Whether the back end is kept for a suspect. */
-  get isolating(): boolean {
-    return this.turn?.alone === true;
+  /** Whether the back end is reserved for a suspect. */
+  get isIsolating(): boolean {
+    return this.current?.alone === true;
   }
 
-  /** Whether anything waits or runs that must be looked at again. */
-  get active(): boolean {
-    return this.waiting.size > 0 || this.turn !== null;
+  /** Whether a suspect waits or runs, so that `check` must be called again. */
+  get hasWork(): boolean {
+    return this.waiting.size > 0 || this.current !== null;
   }
 
-  /** A suspect has come. */
-  add(suspect: Suspect): void {
+  /** Queues a suspect. */
+  add(suspect: SuspectRequest): void {
     this.waiting.add(suspect);
-    this.step();
+    this.check();
   }
 
-  /** A suspect has gone, or is none any more. */
-  remove(suspect: Suspect): void {
+  /** Removes a suspect that was withdrawn or is no longer one. */
+  remove(suspect: SuspectRequest): void {
     this.waiting.delete(suspect);
-    if (this.turn?.suspect === suspect && !this.turn.begun) this.giveUpTurn(this.turn);
+    if (this.current?.suspect === suspect && !this.current.begun) this.abandon(this.current);
   }
 
-  /** Takes all that wait, for another look at each; the turn goes on. */
-  takeWaiting(): readonly Suspect[] {
-    const taken = [...this.waiting];
+  /** Removes and returns all waiting suspects, to be evaluated anew; the current run is not affected. */
+  removeAllWaiting(): readonly SuspectRequest[] {
+    const removed = [...this.waiting];
     this.waiting.clear();
-    return taken;
+    return removed;
   }
 
-  /** The run of a suspect has ended; what it showed was reported before. */
-  ended(suspect: Suspect): void {
-    const { turn } = this;
-    if (turn?.suspect !== suspect) return;
-    this.turn = null;
+  /** Handles the end of a suspect's run; its outcome must have been reported before. */
+  onRunEnded(suspect: SuspectRequest): void {
+    const { current } = this;
+    if (current?.suspect !== suspect) return;
+    this.current = null;
     this.ports.permits.release(suspect.fingerprint, true);
-    if (turn.alone) this.ports.resume();
-    this.step();
+    if (current.alone) this.ports.resume();
+    this.check();
   }
 
-  /** Looks at what may go on. */
-  step(): void {
+  /** Expires waiting suspects, and starts or advances the current one. */
+  check(): void {
     const nowMs = this.ports.runtime.nowMs();
     this.expire(nowMs);
-    if (this.turn === null) this.startTurn(nowMs);
-    if (this.turn !== null) this.advance(this.turn, nowMs);
+    if (this.current === null) this.selectNext(nowMs);
+    if (this.current !== null) this.advance(this.current, nowMs);
   }
 
   private expire(nowMs: number): void {
@@ -125,47 +125,47 @@
     }
   }
 
-  private startTurn(nowMs: number): void {
+  private selectNext(nowMs: number): void {
     for (const suspect of this.waiting) {
       if (!this.ports.permits.holds(suspect.fingerprint)) {
-        this.ports.permits.ask(suspect.fingerprint);
+        this.ports.permits.request(suspect.fingerprint);
         continue;
       }
       this.waiting.delete(suspect);
-      this.turn = { suspect, sinceMs: nowMs, begun: false, alone: true };
+      this.current = { suspect, sinceMs: nowMs, begun: false, alone: true };
       this.ports.pause();
       return;
     }
   }
 
-  private advance(turn: Turn, nowMs: number): void {
-    if (turn.begun) {
-      if (turn.alone && nowMs - turn.sinceMs > LONGEST_ALONE_MS) this.share(turn);
+  private advance(run: IsolatedRun, nowMs: number): void {
+    if (run.begun) {
+      if (run.alone && nowMs - run.sinceMs > MAX_ISOLATION_MS) this.endIsolation(run);
       return;
     }
-    if (this.ports.isFree()) this.begin(turn, nowMs);
-    else if (nowMs - turn.sinceMs > LONGEST_DRAIN_MS || nowMs >= turn.suspect.expiresMs) {
-      this.giveUpTurn(turn);
-      turn.suspect.refuse();
+    if (this.ports.canRunAlone()) this.startRun(run, nowMs);
+    else if (nowMs - run.sinceMs > MAX_DRAIN_MS || nowMs >= run.suspect.expiresMs) {
+      this.abandon(run);
+      run.suspect.refuse();
     }
   }
 
-  private begin(turn: Turn, nowMs: number): void {
-    this.turn = { ...turn, sinceMs: nowMs, begun: true };
-    if (turn.suspect.begin()) return;
-    this.turn = null;
-    this.ports.permits.release(turn.suspect.fingerprint, false);
+  private startRun(run: IsolatedRun, nowMs: number): void {
+    this.current = { ...run, sinceMs: nowMs, begun: true };
+    if (run.suspect.start()) return;
+    this.current = null;
+    this.ports.permits.release(run.suspect.fingerprint, false);
     this.ports.resume();
   }
 
-  private share(turn: Turn): void {
-    turn.alone = false;
+  private endIsolation(run: IsolatedRun): void {
+    run.alone = false;
     this.ports.resume();
   }
 
-  private giveUpTurn(turn: Turn): void {
-    this.turn = null;
-    this.ports.permits.release(turn.suspect.fingerprint, false);
+  private abandon(run: IsolatedRun): void {
+    this.current = null;
+    this.ports.permits.release(run.suspect.fingerprint, false);
     this.ports.resume();
   }
 }
--- a/src/sidecar/work-forecast.ts
+++ b/src/sidecar/work-forecast.ts
@@ -1,11 +1,11 @@
 /**
- * What a request is expected to need at one back end: work, places that it must leave free, and time on the network link
- * for its answer. Learned from the answers that came.
+ * Estimates the cost of requests at one back end from past answers: processing time, slots to leave free for others,
+ * and transfer time of the answer on the network link.
  */
 import type { RequestHead } from '../link/link-messages.js';
 import type { LinkPacer } from '../link/link-pacer.js';
 import { policyIsOn } from '../policy-switches.js';
-import { BackendPace, believedPace } from './backend-pace.js';
+import { BackendPace, clampPace } from './backend-pace.js';
 import { LinkOutlook } from './link-outlook.js';
 import {
   comesTooLateForLink,
@@ -18,34 +18,34 @@
 } from './place-policy.js';
 import { RouteMeans } from './route-means.js';
 
-/** What a forecast needs of its gateway. */
+/** Dependencies of a forecast. */
 export interface WorkForecastPorts {
   nowMs(): number;
-  /** Time in ms that any request is to be expected to keep its place. */
+  /** Returns the expected time in ms for which a request of any route holds its slot. */
   serviceMs(): number;
-  /** Places at the back end. */
+  /** Returns the number of slots of the back end. */
   slots(): number;
-  /** Paces large answers; null where the network link is fast. */
+  /** Paces large answers; null if the network link is fast. */
   readonly pacer: LinkPacer | null;
 }
 
-/** How an answer ended that is learned from. */
-export interface LearnedAnswer {
+/** Measurements of one answer. */
+export interface AnswerSample {
   readonly route: string;
-  /** Time in ms for which it kept its place. */
+  /** Time in ms for which the request held its slot. */
   readonly usedMs: number;
   readonly bytes: number;
-  /** How long work takes there, as a factor; null when the answer did not tell, NaN when it could not be read. */
+  /** Reported processing time as a factor of the usual one; null if not reported, NaN if not readable. */
   readonly pace: number | null;
 }
 
-/** The forecast of one back end. `Owner` names who will send an answer. */
+/** Forecast for one back end. `Owner` is the type of the requests, which identify the answers to be sent. */
 export class WorkForecast<Owner> {
   readonly pace = new BackendPace();
-  /** Figures that the back end told and that could not be read; they count as not told. */
+  /** Number of reported paces that were not readable; these are ignored. */
   unreadableFigures = 0;
-  /** At the usual pace. */
-  private readonly times = new RouteMeans();
+  /** Processing time in ms by route, normalized to the usual pace. */
+  private readonly workTimes = new RouteMeans();
   private readonly answerBytes = new RouteMeans();
   private readonly link: LinkOutlook<Owner>;
 
@@ -53,28 +53,28 @@
     this.link = new LinkOutlook(ports.pacer);
   }
 
-  /** How long work takes now, as a factor on the usual. */
-  get paceNow(): number {
+  /** Current processing time as a factor of the usual one. */
+  get currentPace(): number {
     return this.pace.at(this.ports.nowMs()).now;
   }
 
-  /** Time in ms until the network link is free of what waits for it and of what was accepted. */
+  /** Time in ms until the network link has sent the queued answers and those of accepted requests. */
   get sendWaitMs(): number {
     return this.link.waitMs;
   }
 
-  /** Time in ms that a request of the route is to be expected to work. */
+  /** Returns the expected processing time in ms of a request of the route. */
   workMs(route: string): number {
-    const usualMs = this.times.of(route, NaN);
-    return Number.isNaN(usualMs) ? this.ports.serviceMs() : usualMs * this.paceNow;
+    const nominalMs = this.workTimes.of(route, NaN);
+    return Number.isNaN(nominalMs) ? this.ports.serviceMs() : nominalMs * this.currentPace;
   }
 
-  /** Time in ms that an answer of the route will need on the network link, behind those that wait for it. */
+  /** Returns the expected time in ms for an answer of the route to pass the network link, including its queue. */
   sendMs(route: string, owner: Owner | null): number {
     return this.link.sendMs(owner, this.answerBytes.of(route, 0), this.workMs(route));
   }
 
-  /** The answer must have passed the network link by the time that its caller tells. */
+  /** Returns the time limits of a request, reduced by the time that its answer needs to pass the network link. */
   claimOf(head: RequestHead, owner: Owner | null): PlaceClaim {
     const sendMs = linkTimeMs(this.sendMs(head.route, owner));
     if (sendMs === 0) return head;
@@ -83,14 +83,14 @@
     return { remainingMs, patienceMs, targetLeftMs: head.targetLeftMs - sendMs, spentMs };
   }
 
-  /** Whether the network link, which others wait for, would make a large answer late that is accepted now. */
+  /** Whether the queue of the network link would make a large answer miss its target if it were accepted now. */
   isTooLateForLink(head: RequestHead, owner: Owner): boolean {
     const claim = this.claimOf(head, owner);
     return claim !== head && comesTooLateForLink(claim, this.link.waitMs, this.workMs(head.route));
   }
 
-  /** The same of one that was accepted and has waited for its place. */
-  hasMissedLink(head: RequestHead, owner: Owner, waitedMs: number): boolean {
+  /** The same for a request that was accepted and has waited for its slot for `waitedMs`. */
+  isTooLateForLinkAfterWait(head: RequestHead, owner: Owner, waitedMs: number): boolean {
     if (!policyIsOn('link-margin')) return false;
     const claim = this.claimOf(head, owner);
     if (claim === head) return false;
@@ -98,48 +98,51 @@
     return comesTooLateForLink(present, this.link.waitMsBeside(owner), this.workMs(head.route));
   }
 
-  /** Rank of a request; short work goes first. */
+  /** Returns the queue priority of a request; short work goes first. */
   rankOf({ priority, route }: RequestHead): number {
     if (!policyIsOn('short-work-first')) return priority;
-    const meanMs = this.times.of(route, this.ports.serviceMs());
-    return placeRank(priority, meanMs, this.times.largest);
+    const meanMs = this.workTimes.of(route, this.ports.serviceMs());
+    return placeRank(priority, meanMs, this.workTimes.largest);
   }
 
-  /** Places that a request leaves free for short work, where this back end has lately had any. */
+  /** Returns the number of slots to leave free for short work, if this back end has recently had any. */
   reserveOf(head: RequestHead): number {
     if (!policyIsOn('short-work-reserve') || this.rankOf(head) === SHORT_WORK_RANK) return 0;
-    const { smallest, largest } = this.times;
+    const { smallest, largest } = this.workTimes;
     const hasShortWork = smallest > 0 && placeRank(head.priority, smallest, largest) === SHORT_WORK_RANK;
     return hasShortWork ? shortWorkReserve(this.ports.slots()) : 0;
   }
 
-  /** Places that a request which will be late leaves free; late short work still ends somebody's wait elsewhere. */
+  /**
+   * Returns the number of slots that a request which will miss its target leaves free. Short work is exempt even when
+   * late, because requests at other back ends wait for its answer.
+   */
   lateReserveOf(head: RequestHead): number {
     if (!policyIsOn('late-reserve') || this.rankOf(head) === SHORT_WORK_RANK) return this.reserveOf(head);
     return Math.max(lateReserve(this.ports.slots()), this.reserveOf(head));
   }
 
-  /** An answer of the route will come from this owner. */
+  /** Registers that an answer of the route will be sent for this owner. */
   expectAnswer(route: string, owner: Owner): void {
     this.link.accept(owner, this.answerBytes.of(route, 0));
   }
 
-  /** The answer is on the link, or will not come. */
-  forgetAnswer(owner: Owner): void {
+  /** Removes an expected answer that has reached the link, or will not be sent. */
+  discardExpectedAnswer(owner: Owner): void {
     this.link.forget(owner);
   }
 
-  /** An answer came. */
-  learn({ route, usedMs, bytes, pace }: LearnedAnswer): void {
-    this.notePace(pace);
-    this.times.note(route, usedMs / this.paceNow);
+  /** Updates the estimates with a received answer. */
+  recordAnswer({ route, usedMs, bytes, pace }: AnswerSample): void {
+    this.recordPace(pace);
+    this.workTimes.note(route, usedMs / this.currentPace);
     this.answerBytes.note(route, bytes);
   }
 
-  private notePace(told: number | null): void {
-    if (told === null) return;
-    const pace = believedPace(told);
+  private recordPace(reported: number | null): void {
+    if (reported === null) return;
+    const pace = clampPace(reported);
     if (pace === null) this.unreadableFigures += 1;
-    else this.pace.note(pace, this.ports.nowMs());
+    else this.pace.record(pace, this.ports.nowMs());
   }
 }
--- a/test/sidecar/admission.test.ts
+++ b/test/sidecar/admission.test.ts
@@ -1,11 +1,11 @@
-/** Places at a back end. */
+/** Admission control: slots of a back end and the queue for them. */
 import test from 'ava';
-import { Admission, type Applicant } from '../../src/sidecar/admission.js';
+import { Admission, type SlotRequest } from '../../src/sidecar/admission.js';
 
 class Recorder {
   readonly log: string[] = [];
 
-  applicant(name: string, priority = 1, expiresMs = 1_000, reserve = 0): Applicant {
+  request(name: string, priority = 1, expiresMs = 1_000, reserve = 0): SlotRequest {
     return {
       priority,
       order: 0,
@@ -17,32 +17,32 @@
   }
 }
 
-test('no more run than there are places, and the most urgent comes next', (t) => {
+test('no more requests run than there are slots, and the highest priority goes next', (t) => {
   const admission = new Admission(1);
   const recorder = new Recorder();
-  admission.apply(recorder.applicant('a'), 0);
-  admission.apply(recorder.applicant('b', 2), 0);
-  admission.apply(recorder.applicant('c', 0), 0);
+  admission.apply(recorder.request('a'), 0);
+  admission.apply(recorder.request('b', 2), 0);
+  admission.apply(recorder.request('c', 0), 0);
   t.deepEqual(recorder.log, ['start a']);
   admission.leave(10);
   admission.leave(10);
   t.deepEqual(recorder.log, ['start a', 'start c', 'start b']);
 });
 
-test('who would wait for too long is told at once', (t) => {
+test('a request whose expected wait is too long expires at once', (t) => {
   const admission = new Admission(1);
   const recorder = new Recorder();
-  admission.apply(recorder.applicant('a'), 0);
-  admission.apply(recorder.applicant('b', 1, 1), 0);
+  admission.apply(recorder.request('a'), 0);
+  admission.apply(recorder.request('b', 1, 1), 0);
   t.deepEqual(recorder.log, ['start a', 'expire b']);
 });
 
-test('who has waited for too long gives up, and a withdrawn one never starts', (t) => {
+test('a queued request expires when its time has passed, and a withdrawn one never starts', (t) => {
   const admission = new Admission(1);
   const recorder = new Recorder();
-  const withdrawn = recorder.applicant('c');
-  admission.apply(recorder.applicant('a'), 0);
-  admission.apply(recorder.applicant('b', 1, 500), 0);
+  const withdrawn = recorder.request('c');
+  admission.apply(recorder.request('a'), 0);
+  admission.apply(recorder.request('b', 1, 500), 0);
   admission.apply(withdrawn, 0);
   admission.expireBefore(500);
   admission.withdraw(withdrawn);
@@ -51,23 +51,23 @@
   t.is(admission.runningCount, 0);
 });
 
-test('more places let more start', (t) => {
+test('more slots let more requests start', (t) => {
   const admission = new Admission(1);
   const recorder = new Recorder();
-  admission.apply(recorder.applicant('a'), 0);
-  admission.apply(recorder.applicant('b'), 0);
+  admission.apply(recorder.request('a'), 0);
+  admission.apply(recorder.request('b'), 0);
   admission.resize(2);
   t.deepEqual(recorder.log, ['start a', 'start b']);
 });
 
-test('who leaves places free for others starts only when so many are free, and holds nobody up', (t) => {
+test('a request with a reserve starts only when that many slots stay free, and blocks no others', (t) => {
   const admission = new Admission(3);
   const recorder = new Recorder();
-  admission.apply(recorder.applicant('a'), 0);
-  admission.apply(recorder.applicant('b'), 0);
-  admission.apply(recorder.applicant('late', 0, 1_000, 1), 0);
+  admission.apply(recorder.request('a'), 0);
+  admission.apply(recorder.request('b'), 0);
+  admission.apply(recorder.request('late', 0, 1_000, 1), 0);
   t.deepEqual(recorder.log, ['start a', 'start b']);
-  admission.apply(recorder.applicant('c'), 0);
+  admission.apply(recorder.request('c'), 0);
   t.deepEqual(recorder.log, ['start a', 'start b', 'start c']);
   admission.leave(10);
   t.is(admission.runningCount, 2);
--- a/test/sidecar/backend-connection.test.ts
+++ b/test/sidecar/backend-connection.test.ts
@@ -1,4 +1,4 @@
-/** What a back end may send in place of a proper answer, as a table of cases against a real socket. */
+/** Handling of malformed, surplus and truncated answers, as a table of cases against a real socket. */
 import { createServer, type Socket } from 'node:net';
 import test from 'ava';
 import { BackendConnection } from '../../src/sidecar/backend-connection.js';
@@ -24,7 +24,7 @@
 
 /**
  * Runs one request against a back end that answers with `script`. With `resets` the back end never reads the request
- * and closes once its answer has begun to arrive, so that the system resets the connection.
+ * and closes the socket once its answer starts to arrive, so that the operating system resets the connection.
  */
 async function run(script: (socket: Socket) => void, resets = false): Promise<Seen> {
   let answering: Socket | null = null;
@@ -89,37 +89,37 @@
 
 const CASES: readonly Case[] = [
   {
-    name: 'a proper answer leaves the connection usable',
+    name: 'a well-formed answer leaves the connection usable',
     script: (socket) => socket.write(OK),
     expected: { outcome: 'whole', body: 'good', framed: true, usable: true },
   },
   {
-    name: "another request's answer in front is passed over, and the connection is not used again",
+    name: 'a preceding answer to another request is skipped, and the connection is not reused',
     script: (socket) => socket.write(OTHERS + OK),
     expected: { outcome: 'whole', body: 'good', usable: false },
   },
   {
-    name: 'surplus bytes behind a whole answer end the connection',
+    name: 'surplus bytes after a complete answer close the connection',
     script: (socket) => socket.write(`${OK}surplus`),
     expected: { outcome: 'whole', body: 'good', usable: false },
   },
   {
-    name: 'an interim answer is not the answer',
+    name: 'an interim response is not taken for the final answer',
     script: (socket) => socket.write(`HTTP/1.1 103 Early Hints\r\n\r\n${OK}`),
     expected: { outcome: 'whole', status: 200, body: 'good' },
   },
   {
-    name: 'bytes that are no answer',
+    name: 'bytes that are not HTTP are garbled',
     script: (socket) => socket.write('nonsense\r\n\r\n'),
     expected: { outcome: 'garbled' },
   },
   {
-    name: 'an answer that is cut short',
+    name: 'an answer that ends before its content length is broken',
     script: (socket) => socket.end('HTTP/1.1 200 OK\r\nid: mine\r\ncontent-length: 40\r\n\r\nshort'),
     expected: { outcome: 'broken' },
   },
   {
-    name: 'a chunk size that is no number does not end the body',
+    name: 'a chunk size that is not a number does not end the body',
     script: (socket) =>
       socket.write(
         'HTTP/1.1 200 OK\r\nid: mine\r\ntransfer-encoding: chunked\r\n\r\n4\r\ngood\r\nzz\r\n\r\n',
@@ -127,34 +127,34 @@
     expected: { outcome: 'garbled' },
   },
   {
-    name: 'a length that is no number',
+    name: 'a content length that is not a number is garbled',
     script: (socket) => socket.write('HTTP/1.1 200 OK\r\nid: mine\r\ncontent-length: 4x\r\n\r\ngood'),
     expected: { outcome: 'garbled' },
   },
   {
-    name: 'a chunked body that stops before its last chunk',
+    name: 'a chunked body that ends before its last chunk is broken',
     script: (socket) =>
       socket.end('HTTP/1.1 200 OK\r\nid: mine\r\ntransfer-encoding: chunked\r\n\r\n4\r\ngood\r\n'),
     expected: { outcome: 'broken' },
   },
   {
-    name: 'an answer without length ends with its connection, and says that it is not framed',
+    name: 'an answer without a length ends with its connection and is marked as not framed',
     script: (socket) => socket.end(UNFRAMED),
     expected: { outcome: 'whole', body: 'part', framed: false, usable: false },
   },
   {
-    name: 'an answer without length that is reset is not whole',
+    name: 'an answer without a length whose connection is reset is broken',
     script: (socket) => socket.write(UNFRAMED),
     resets: true,
     expected: { outcome: 'broken' },
   },
   {
-    name: 'an answer that closes its connection',
+    name: 'an answer with connection: close makes the connection unusable',
     script: (socket) => socket.write(OK.replace('id:', 'connection: close\r\nid:')),
     expected: { outcome: 'whole', body: 'good', usable: false },
   },
   {
-    name: 'no answer at all',
+    name: 'a connection that closes without an answer is broken',
     script: (socket) => socket.end(),
     expected: { outcome: 'broken' },
   },
@@ -166,7 +166,7 @@
   });
 }
 
-test('a refused connection was certainly not used', async (t) => {
+test('a refused connection reports that nothing was sent', async (t) => {
   const server = createServer();
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as { port: number };
--- a/test/sidecar/backend-end-detection.test.ts
+++ b/test/sidecar/backend-end-detection.test.ts
@@ -1,4 +1,4 @@
-/** What counts as the end of a back end under a request, and what does not; real daemons on virtual time. */
+/** Detection of back ends that end while they process requests; real daemons on virtual time. */
 import test from 'ava';
 import type { FleetMachine } from '../../lab/sim/fleet/fleet-machine.js';
 import type { FleetSpec, FleetTraffic } from '../../lab/sim/fleet/fleet-spec.js';
@@ -32,7 +32,7 @@
 interface Case {
   readonly name: string;
   readonly happens: (machine: FleetMachine, world: FleetWorld) => void;
-  /** Requests that the directory holds the end against; two are under way. */
+  /** Number of requests for which the directory records the end; two are in flight. */
   readonly recorded: 0 | 2;
   readonly deadlineMs?: number;
 }
@@ -46,14 +46,14 @@
     recorded: 2,
   },
   {
-    name: 'its process ends and another listens at once, so that nothing refuses a connection',
+    name: 'its process ends and another listens immediately, so that no connection is refused',
     happens: (machine) => {
       machine.restartBackend();
     },
     recorded: 2,
   },
   {
-    name: 'it ends while its daemon stands still',
+    name: 'it ends while its daemon is frozen',
     happens: (machine, world) => {
       machine.process.freeze();
       machine.endBackend();
@@ -64,7 +64,7 @@
     recorded: 2,
   },
   {
-    name: 'it ends just after callers have given up',
+    name: 'it ends just after the callers have timed out',
     deadlineMs: EVENT_MS,
     happens: (machine, world) => {
       world.callers.send({ ...TRAFFIC, deadlineMs: 800 }, 3);
@@ -75,21 +75,21 @@
     recorded: 2,
   },
   {
-    name: 'one connection is reset, and it goes on',
+    name: 'one connection is reset, and it keeps running',
     happens: (machine) => {
       machine.backend?.reset(1);
     },
     recorded: 0,
   },
   {
-    name: 'all connections are reset, and it goes on',
+    name: 'all connections are reset, and it keeps running',
     happens: (machine) => {
       machine.backend?.reset();
     },
     recorded: 0,
   },
   {
-    name: 'all connections are reset, it goes on, and is replaced as planned later',
+    name: 'all connections are reset, it keeps running, and is replaced as planned later',
     happens: (machine, world) => {
       machine.backend?.reset();
       world.queue.at(world.queue.nowMs + 1_000, () => {
@@ -99,28 +99,28 @@
     recorded: 0,
   },
   {
-    name: 'it answers with bytes that are no answer',
+    name: 'it answers with bytes that are not HTTP',
     happens: (machine) => {
       machine.backend?.garble();
     },
     recorded: 0,
   },
   {
-    name: 'it said that it leaves, and ends under its last requests',
+    name: 'it announced that it leaves, and ends during its last requests',
     happens: (machine) => {
       machine.retireBackend(50);
     },
     recorded: 0,
   },
   {
-    name: 'it falls silent',
+    name: 'it stops responding',
     happens: (machine) => {
       machine.darkenBackend();
     },
     recorded: 0,
   },
   {
-    name: 'its daemon is killed, and it goes on',
+    name: 'its daemon is killed, and it keeps running',
     happens: (machine, world) => {
       machine.crash();
       world.queue.at(world.queue.nowMs + 300, () => void machine.start());
@@ -148,7 +148,7 @@
     world.callers.send(traffic, 1);
     if (deadlineMs === undefined) world.callers.send(traffic, 2);
     await world.runUntil(FLEET_READY_MS + EVENT_MS);
-    t.true(world.runs.length > 0, 'requests are under way');
+    t.true(world.runs.length > 0, 'requests are in flight');
     happens(machine, world);
     await world.runUntil(FLEET_READY_MS + 4_000);
     const records = [...(world.directory.leader()?.state.crashRecords.values() ?? [])];
--- a/test/sidecar/backend-gateway.test.ts
+++ b/test/sidecar/backend-gateway.test.ts
@@ -1,4 +1,4 @@
-/** What the gateway admits, refuses and tells others. */
+/** Which requests the gateway admits and refuses, and what it reports to others. */
 import test from 'ava';
 import { freePort } from '../loopback.js';
 import { LinkPacer } from '../../src/link/link-pacer.js';
@@ -34,11 +34,11 @@
   readonly time = new ManualTime();
   readonly refusals: string[] = [];
   readonly retryAfterMs: number[] = [];
-  /** Slot time that was counted, in ms. */
-  work = 0;
+  /** Slot time in ms that was reported as load. */
+  countedWorkMs = 0;
   holdsKey = true;
   closesAtMs = Infinity;
-  /** What the records say of every request. */
+  /** Stage of every request according to the crash records. */
   stage: CrashStage = 'free';
   readonly coldLimit = new ColdStartLimit({ factor: 1.5, slack: 8 }, -10_000);
 
@@ -59,7 +59,7 @@
       coldLimit: this.coldLimit,
       guard: {
         ...OPEN_GUARD,
-        judge: () => ({ stage: this.stage, fingerprint: 'fingerprint', record: null }),
+        classify: () => ({ stage: this.stage, fingerprint: 'fingerprint', record: null }),
       },
       instance: () => 'life-1',
       awaitsBackend: () => false,
@@ -67,7 +67,7 @@
       leaving: () => false,
       holdsKey: () => this.holdsKey,
       ownsKey: () => true,
-      onWork: (_key, ms) => (this.work += ms),
+      onWork: (_key, ms) => (this.countedWorkMs += ms),
     });
     gateway.setSlots(2);
     return gateway;
@@ -88,7 +88,7 @@
   }
 }
 
-test('what was asked of another life, or after the back end closed, is refused', async (t) => {
+test('a request for another incarnation, or after the back end has closed, is refused', async (t) => {
   const world = new World();
   const gateway = await world.gateway();
   gateway.take({ ...HEAD, instance: 'life-0' }, Buffer.alloc(0), world.reply());
@@ -99,7 +99,7 @@
   gateway.stop();
 });
 
-test('the status, as it is told to a probe, counts what runs and what waits', async (t) => {
+test('the status counts running and waiting requests', async (t) => {
   const world = new World();
   const gateway = await world.gateway();
   for (let taken = 0; taken < 3; taken += 1) gateway.take(HEAD, Buffer.alloc(0), world.reply());
@@ -108,7 +108,7 @@
 });
 
 for (const stage of ['suspect', 'quarantined'] as const) {
-  test(`what has become ${stage} while it waited for a place does not take it`, async (t) => {
+  test(`a request that became ${stage} while it waited for a slot does not take it`, async (t) => {
     const world = new World();
     const gateway = await world.gateway();
     for (let taken = 0; taken < 3; taken += 1) gateway.take(HEAD, Buffer.alloc(0), world.reply());
@@ -121,7 +121,7 @@
   });
 }
 
-test('the wait for the network link is told with the status', async (t) => {
+test('the status reports the wait for the network link', async (t) => {
   const world = new World();
   const pacer = new LinkPacer(1_000, world.time.runtime);
   const gateway = await world.gateway(pacer);
@@ -130,14 +130,14 @@
   gateway.stop();
 });
 
-/** Fills both places and lets `waiting` more requests wait for one. */
+/** Fills both slots and queues `waiting` more requests. */
 async function fullGateway(world: World, waiting = 0): Promise<BackendGateway> {
   const gateway = await world.gateway();
   for (let taken = 0; taken < 2 + waiting; taken += 1) gateway.take(HEAD, Buffer.alloc(0), world.reply());
   return gateway;
 }
 
-test('a first try that would wait for too long is told at once when to come back', async (t) => {
+test('a first attempt whose wait would be too long is refused at once with a retry delay', async (t) => {
   const world = new World();
   const gateway = await fullGateway(world, 40);
   const refusedBefore = world.refusals.length;
@@ -147,7 +147,7 @@
   gateway.stop();
 });
 
-test('one that came back waits behind all others until no time is left for its work', async (t) => {
+test('a late retry waits behind all others until too little time is left for its work', async (t) => {
   const world = new World();
   const gateway = await fullGateway(world);
   const late = { ...HEAD, targetLeftMs: 0, patienceMs: 0, remainingMs: 1_000, spentMs: 700 };
@@ -159,7 +159,7 @@
   gateway.stop();
 });
 
-test('where such waiting brings nothing it ends at once', async (t) => {
+test('late requests no longer wait after such waits ended without a slot', async (t) => {
   const world = new World();
   const gateway = await fullGateway(world);
   const late = { ...HEAD, targetLeftMs: 0, patienceMs: 0, remainingMs: 300, spentMs: 1_400 };
@@ -174,24 +174,28 @@
   gateway.stop();
 });
 
-test('load counts once, when it is asked for', async (t) => {
+test('load is counted once, on arrival', async (t) => {
   const world = new World();
   const gateway = await world.gateway();
   gateway.take({ ...HEAD, key: 7 }, Buffer.alloc(0), world.reply());
-  const asked = world.work;
+  const asked = world.countedWorkMs;
   t.true(asked > 0);
   world.time.pass(20);
-  t.is(world.work, asked);
+  t.is(world.countedWorkMs, asked);
   gateway.stop();
 });
 
 for (const { name, spentMs, waitsMs } of [
   {
-    name: 'a first try waits for keys that are on their way while it can be in time',
+    name: 'a first attempt waits for keys that are being handed over as long as it can meet its target',
     spentMs: 0,
     waitsMs: 420,
   },
-  { name: 'one that came back waits for as long as work could follow', spentMs: 300, waitsMs: 1_880 },
+  {
+    name: 'a retry waits for keys as long as enough time for its work is left',
+    spentMs: 300,
+    waitsMs: 1_880,
+  },
 ]) {
   test(name, async (t) => {
     const world = new World();
@@ -206,7 +210,7 @@
   });
 }
 
-test('when the daemon stops, what waits is refused and does not begin to wait anew', async (t) => {
+test('when the daemon stops, waiting requests are refused and do not wait again', async (t) => {
   const world = new World();
   const gateway = await fullGateway(world, 2);
   gateway.stop();
--- a/test/sidecar/backend-pace.test.ts
+++ b/test/sidecar/backend-pace.test.ts
@@ -1,13 +1,13 @@
-/** How long work takes at a back end at a moment, and what is made of figures that cannot be. */
+/** Estimate of the pace of a back end, and handling of invalid reports. */
 import test from 'ava';
 import { PLATFORM_HEADERS } from '../../platform/wire-names.js';
-import { BackendPace, believedPace, fadedPace } from '../../src/sidecar/backend-pace.js';
+import { BackendPace, clampPace, fadedPace } from '../../src/sidecar/backend-pace.js';
 import { BackendView } from '../../src/sidecar/backend-view.js';
 
-test('what was told a moment ago holds, what was told long ago is the mean', (t) => {
+test('a recent report is used as it is, and an old one decays to the mean', (t) => {
   const pace = new BackendPace();
-  for (let told = 0; told < 200; told += 1) pace.note(told % 2 === 0 ? 1 : 2, told);
-  pace.note(3, 1_000);
+  for (let told = 0; told < 200; told += 1) pace.record(told % 2 === 0 ? 1 : 2, told);
+  pace.record(3, 1_000);
   const { now, mean } = pace.at(1_000);
   t.is(now, 3);
   t.true(mean > 1.4 && mean < 1.7);
@@ -16,7 +16,7 @@
   t.deepEqual(pace.at(3_000), { now: 1, mean: 1 });
 });
 
-test('a figure from before the clock was read counts as new', (t) => {
+test('a report with a negative age counts as new', (t) => {
   t.is(fadedPace({ now: 3, mean: 1 }, -5), 3);
 });
 
@@ -31,20 +31,20 @@
 ];
 
 for (const [value, pace] of READ) {
-  test(`a load of "${value}" tells the pace ${String(pace)}`, (t) => {
+  test(`a load header of "${value}" reports the pace ${String(pace)}`, (t) => {
     t.is(PLATFORM_HEADERS.readPace(value), pace);
   });
 }
 
-test('paces are clamped, and what is no number is not believed', (t) => {
-  t.is(believedPace(-4), 0.1);
-  t.is(believedPace(0), 0.1);
-  t.is(believedPace(1e9), 20);
-  t.is(believedPace(NaN), null);
-  t.is(believedPace(Infinity), null);
+test('paces are clamped, and values that are not finite numbers are rejected', (t) => {
+  t.is(clampPace(-4), 0.1);
+  t.is(clampPace(0), 0.1);
+  t.is(clampPace(1e9), 20);
+  t.is(clampPace(NaN), null);
+  t.is(clampPace(Infinity), null);
 });
 
-test('a back end that is slow at this moment is expected to take longer, by the work of the route', (t) => {
+test('a back end that is slow now is expected to take longer, in proportion to the work of the route', (t) => {
   const status = {
     instance: 'a',
     running: 0,
@@ -62,5 +62,5 @@
   usual.noteStatus({ ...status, serviceMs: 30, pace: 1 }, 0);
   t.is(Math.round(slow.expectedMs(4, 0, 20)), 60);
   t.is(Math.round(usual.expectedMs(4, 0, 20)), 20);
-  t.true(slow.expectedMs(4, 2_000, 20) < 21, 'slow spells pass');
+  t.true(slow.expectedMs(4, 2_000, 20) < 21, 'slow phases pass');
 });
--- a/test/sidecar/backend-pool.test.ts
+++ b/test/sidecar/backend-pool.test.ts
@@ -1,4 +1,4 @@
-/** Which connection a request to a back end is sent on. */
+/** Selection of the connection on which a request is sent. */
 import { createServer } from 'node:net';
 import test from 'ava';
 import type { BackendRequest } from '../../src/sidecar/backend-connection.js';
@@ -14,7 +14,7 @@
 };
 const ANSWER = 'HTTP/1.1 200 OK\r\nid: r\r\ncontent-length: 2\r\n\r\nok';
 
-test('what must not run twice takes no connection that the back end may have forgotten', async (t) => {
+test('a request that must not run twice reuses no connection that the back end may have dropped', async (t) => {
   const server = createServer((socket) => {
     socket.on('error', () => undefined);
     socket.on('data', () => socket.write(ANSWER));
@@ -47,10 +47,10 @@
   await run(true);
   nowMs = 150;
   await run(false);
-  t.is(pool.opened, 1, 'a connection that rested for a moment is used');
+  t.is(pool.opened, 1, 'a connection that was idle for a short time is reused');
   nowMs = 400;
   await run(true);
-  t.is(pool.opened, 1, 'what may run again uses any');
+  t.is(pool.opened, 1, 'a repeatable request reuses any connection');
   nowMs = 700;
   await run(false);
   t.is(pool.opened, 2);
--- a/test/sidecar/circuit-breaker.test.ts
+++ b/test/sidecar/circuit-breaker.test.ts
@@ -1,28 +1,28 @@
-/** Which requests a back end gets at which runs break off. */
+/** Which requests are sent to a back end whose runs break. */
 import test from 'ava';
-import { BackendTrials } from '../../src/sidecar/circuit-breaker.js';
+import { CircuitBreaker } from '../../src/sidecar/circuit-breaker.js';
 
-function brokenTrials(): BackendTrials {
-  const trials = new BackendTrials();
-  for (let run = 0; run < 4; run += 1) trials.noteRun(true);
-  return trials;
+function openCircuitBreaker(): CircuitBreaker {
+  const breaker = new CircuitBreaker();
+  for (let run = 0; run < 4; run += 1) breaker.recordRun(true);
+  return breaker;
 }
 
-test('after four broken runs in a row one request is let through every 300 ms', (t) => {
-  const trials = brokenTrials();
+test('after four consecutive broken runs one request is allowed every 300 ms', (t) => {
+  const trials = openCircuitBreaker();
   t.deepEqual(
-    [0, 1, 299, 300, 301].map((ms) => trials.admits(ms)),
+    [0, 1, 299, 300, 301].map((ms) => trials.allowRequest(ms)),
     [true, false, false, true, false],
   );
 });
 
-test('a run that did not break off, or another life, ends the trial', (t) => {
-  const answered = brokenTrials();
-  answered.noteRun(false);
-  const replaced = brokenTrials();
-  replaced.startLife();
+test('a run that did not break, or a new incarnation, closes the circuit', (t) => {
+  const answered = openCircuitBreaker();
+  answered.recordRun(false);
+  const replaced = openCircuitBreaker();
+  replaced.reset();
   for (const trials of [answered, replaced]) {
-    t.true(trials.admits(0));
-    t.true(trials.admits(1));
+    t.true(trials.allowRequest(0));
+    t.true(trials.allowRequest(1));
   }
 });
--- a/test/sidecar/cold-start-limit.test.ts
+++ b/test/sidecar/cold-start-limit.test.ts
@@ -1,4 +1,4 @@
-/** What a cold back end may be sent, for any arrivals and any order of tidings. */
+/** Rate limit of a cold back end, for any arrivals and any order of reports. */
 import test from 'ava';
 import fc from 'fast-check';
 import { ColdStartLimit, LONGEST_COLD_MS } from '../../src/sidecar/cold-start-limit.js';
@@ -6,7 +6,7 @@
 const BOUND = { factor: 1.5, slack: 8 };
 const COLD_START = { durationMs: 3_000, requestsPerSecond: 14 };
 
-/** Most requests in a second that the bound accepts. */
+/** Maximum number of requests per second within the bound. */
 const ACCEPTED = COLD_START.requestsPerSecond * BOUND.factor + BOUND.slack;
 
 function limitAt(startedMs: number): ColdStartLimit {
@@ -15,47 +15,47 @@
   return limit;
 }
 
-/** Sends whatever may be sent at every ms of a span; returns when. */
+/** Sends as many requests as the limit allows at every ms of a time span; returns their times. */
 function sendAll(limit: ColdStartLimit, fromMs: number, toMs: number): number[] {
   const sent: number[] = [];
   for (let nowMs = fromMs; nowMs < toMs; nowMs += 1) {
     while (limit.delayMs(0, nowMs) <= 0 && sent.length < 10_000) {
-      limit.noteSent(nowMs);
+      limit.recordSent(nowMs);
       sent.push(nowMs);
     }
   }
   return sent;
 }
 
-function mostInASecond(sentMs: readonly number[]): number {
+function maxInASecond(sentMs: readonly number[]): number {
   return Math.max(
     0,
     ...sentMs.map((fromMs) => sentMs.filter((at) => at >= fromMs && at < fromMs + 1_000).length),
   );
 }
 
-test('a cold back end is filled evenly to what it bears', (t) => {
+test('requests to a cold back end are evenly spaced at the rate that it can sustain', (t) => {
   const limit = limitAt(-10_000);
   limit.startLife(3_000, 0);
   const sent = sendAll(limit, 0, 2_999);
   const gaps = sent.slice(2).map((at, index) => at - (sent[index + 1] ?? 0));
   t.true(Math.max(...gaps) <= 73 && Math.min(...gaps) >= 70, `gaps of ${gaps.join(', ')} ms`);
-  t.true(mostInASecond(sent) <= COLD_START.requestsPerSecond + 2);
+  t.true(maxInASecond(sent) <= COLD_START.requestsPerSecond + 2);
 });
 
-test('a daemon that was started a moment ago gives a cold back end nothing for a window', (t) => {
+test('a daemon that has just started sends a cold back end nothing for one window', (t) => {
   const limit = limitAt(0);
   limit.startLife(3_000, 100);
   t.true((sendAll(limit, 100, 2_000)[0] ?? 0) > 1_000);
 });
 
-test('a back end that becomes cold within a second gets no more than the bound in any second from then on', (t) => {
+test('a back end that becomes cold gets no more than the bound in any second from then on', (t) => {
   const holds = fc.check(
     fc.property(fc.array(fc.nat(2_000), { maxLength: 200 }), fc.nat(2_000), (arrivals, coldAtMs) => {
       const limit = limitAt(-10_000);
       limit.startLife(0, -5_000);
       const before = arrivals.filter((at) => at < coldAtMs).sort((left, right) => left - right);
-      for (const at of before) limit.noteSent(at);
+      for (const at of before) limit.recordSent(at);
       limit.takeTold(3_000, coldAtMs);
       const sent = sendAll(limit, coldAtMs, coldAtMs + 2_500);
       for (const fromMs of sent) {
@@ -69,44 +69,44 @@
   t.false(holds.failed, fc.defaultReportMessage(holds));
 });
 
-test('whatever order tidings come in, what is sent while it counts as cold stays within the bound', (t) => {
+test('for any order of reports the requests sent while it counts as cold stay within the bound', (t) => {
   const told = fc.record({ at: fc.nat(6_000), toldMs: fc.option(fc.nat(4_000)), assumed: fc.boolean() });
   const holds = fc.check(
-    fc.property(fc.array(told, { maxLength: 12 }), (tidings) => {
+    fc.property(fc.array(told, { maxLength: 12 }), (reports) => {
       const limit = limitAt(-10_000);
       limit.startLife(6_000, 0);
       const cold: number[] = [];
       for (let nowMs = 0; nowMs < 6_000; nowMs += 5) {
-        for (const { at, toldMs, assumed } of tidings) {
+        for (const { at, toldMs, assumed } of reports) {
           if (at < nowMs - 4 || at > nowMs) continue;
           if (assumed) limit.assumeCold();
           else limit.takeTold(toldMs, nowMs);
         }
-        // While it counts as warm it is sent nothing here, so every request was sent to a cold one.
+        // Nothing is sent here while it counts as warm, so every counted request went to a cold back end.
         while (limit.isCold(nowMs) && limit.delayMs(0, nowMs) <= 0) {
-          limit.noteSent(nowMs);
+          limit.recordSent(nowMs);
           cold.push(nowMs);
         }
       }
-      return mostInASecond(cold) <= ACCEPTED;
+      return maxInASecond(cold) <= ACCEPTED;
     }),
   );
   t.false(holds.failed, fc.defaultReportMessage(holds));
 });
 
-test('one that may have become cold unseen counts as cold until it has told otherwise twice', (t) => {
+test('a back end that may have become cold unnoticed counts as cold until two reports say otherwise', (t) => {
   const limit = limitAt(-10_000);
   limit.startLife(0, 0);
   t.false(limit.isCold(10));
   limit.assumeCold();
   t.true(limit.isCold(10));
   limit.takeTold(0, 20);
-  t.true(limit.isCold(30), 'it may have been told before it became cold');
+  t.true(limit.isCold(30), 'the first report may date from before it became cold');
   limit.takeTold(0, 900);
   t.false(limit.isCold(910));
 });
 
-test('a tiding without the figure changes nothing, a new life without it is cold, a huge one is clamped', (t) => {
+test('a report without the value changes nothing, a new incarnation without it is cold, a huge value is clamped', (t) => {
   const limit = limitAt(-10_000);
   limit.startLife(null, 0);
   t.true(limit.isCold(2_999));
@@ -118,17 +118,17 @@
   t.false(limit.isCold(5_001 + LONGEST_COLD_MS));
 });
 
-test('where the service tells no rate nothing is limited', (t) => {
+test('nothing is limited if the service configures no rate', (t) => {
   const limit = new ColdStartLimit(BOUND, 0);
   limit.startLife(3_000, 0);
   t.is(limit.delayMs(5, 10), 0);
-  t.is(limit.outlook(10), null);
+  t.is(limit.estimate(10), null);
 });
 
-test('the outlook tells how soon further requests are taken', (t) => {
+test('the estimate reports how soon further requests are accepted', (t) => {
   const limit = limitAt(-10_000);
   limit.startLife(2_000, 0);
-  limit.noteSent(0);
-  limit.noteSent(0);
-  t.deepEqual(limit.outlook(0), { delayMs: 71, intervalMs: 71, leftMs: 2_000 });
+  limit.recordSent(0);
+  limit.recordSent(0);
+  t.deepEqual(limit.estimate(0), { delayMs: 71, intervalMs: 71, leftMs: 2_000 });
 });
--- a/test/sidecar/gateway-reserved-slots.test.ts
+++ b/test/sidecar/gateway-reserved-slots.test.ts
@@ -1,4 +1,4 @@
-/** Places that some requests leave free for others at one back end. */
+/** Slots of a back end that some requests leave free for others. */
 import test from 'ava';
 import type { RequestHead } from '../../src/link/link-messages.js';
 import { LinkPacer } from '../../src/link/link-pacer.js';
@@ -34,15 +34,15 @@
 };
 const SHORT: RequestHead = { ...LONG, route: 'short' };
 
-/** Came back after most of its target had passed. */
+/** A retry after the target latency has passed. */
 const LATE: RequestHead = { ...LONG, targetLeftMs: 0, spentMs: 600 };
 
-/** A back end whose runs end when the test says so. */
-class HeldBackend implements BackendClient {
+/** A back end whose runs end on demand. */
+class ManualBackend implements BackendClient {
   readonly opened = 0;
-  /** What its answers tell of the time that work takes. */
+  /** Pace that its answers report. */
   pace: number | null = null;
-  /** Length of its answers. */
+  /** Length of its answers in bytes. */
   bytes = 0;
   private readonly ends: (() => void)[] = [];
 
@@ -74,7 +74,7 @@
 class World {
   readonly time = new ManualTime();
   readonly pacer = new LinkPacer(1_000, this.time.runtime);
-  readonly backend = new HeldBackend();
+  readonly backend = new ManualBackend();
   readonly refusals: string[] = [];
   readonly failures: string[] = [];
   readonly gateway = new BackendGateway({
@@ -107,8 +107,8 @@
     return Array.from({ length: count }, () => this.gateway.take(head, Buffer.alloc(0), reply));
   }
 
-  /** Lets the back end learn how long both kinds of work take. */
-  learn(): void {
+  /** Runs one request of each kind, so that the gateway learns how long they take. */
+  learnWorkTimes(): void {
     this.take(LONG);
     this.time.pass(LONG_MS);
     this.backend.endAll();
@@ -118,22 +118,22 @@
   }
 }
 
-test('where all work is alike, it may take every place', (t) => {
+test('work of one kind may use every slot', (t) => {
   const world = new World();
   world.take(LONG, SLOTS + 2);
   t.is(world.gateway.runningCount, SLOTS);
 });
 
-test('long work leaves a tenth of the places free once short work was seen, and short work takes them', (t) => {
+test('long work leaves a tenth of the slots free once short work was seen, and short work uses them', (t) => {
   const world = new World();
-  world.learn();
+  world.learnWorkTimes();
   world.take(LONG, SLOTS + 2);
   t.is(world.gateway.runningCount, SLOTS - 1);
   world.take(SHORT);
   t.is(world.gateway.runningCount, SLOTS);
 });
 
-test('requests that will be late leave a fifth of the places free, and others pass them by', (t) => {
+test('late requests leave a fifth of the slots free, and others overtake them', (t) => {
   const world = new World();
   world.take(LONG, SLOTS - 2);
   world.take(LATE);
@@ -143,7 +143,7 @@
   t.deepEqual(world.refusals, []);
 });
 
-test('a pace that cannot be read counts as not told, and is counted', (t) => {
+test('an unreadable pace is ignored and counted', (t) => {
   const world = new World();
   world.take(LONG);
   world.backend.pace = 2;
@@ -156,7 +156,7 @@
   t.is(world.gateway.status()?.pace, 2);
 });
 
-test('a request that is taken back is refused if it has not begun, and goes on otherwise', (t) => {
+test('a withdrawn request is refused if it has not started, and continues otherwise', (t) => {
   const world = new World();
   const requests = world.take(LONG, SLOTS + 1);
   for (const request of requests) request.withdraw();
@@ -164,7 +164,7 @@
   t.is(world.gateway.runningCount, SLOTS);
 });
 
-test('a gateway that stops refuses what waits, and fails what runs', (t) => {
+test('a gateway that stops refuses waiting requests and fails running ones', (t) => {
   const world = new World();
   world.take(LONG, SLOTS + 1);
   world.gateway.stop();
@@ -172,17 +172,17 @@
   t.is(world.failures.length, SLOTS);
 });
 
-test('no work is begun that the deadline would break off', (t) => {
+test('no work is started that the deadline would cut off', (t) => {
   const world = new World();
-  world.learn();
+  world.learnWorkTimes();
   world.take({ ...LONG, remainingMs: LONG_MS / 3, patienceMs: 0 });
   t.deepEqual(world.refusals, ['busy']);
 });
 
-test('a large answer that the wait for a place has made too late for the link is not worked on', (t) => {
+test('a request whose large answer would pass the link too late after its wait for a slot is not run', (t) => {
   const world = new World();
   world.backend.bytes = 10_000;
-  world.learn();
+  world.learnWorkTimes();
   world.take(LONG, SLOTS + 1);
   t.deepEqual(world.refusals, []);
   new PacedFrames(world.pacer, () => undefined).send(1, Buffer.alloc(0), Buffer.alloc(460_000));
--- a/test/sidecar/late-wait-limiter.test.ts
+++ b/test/sidecar/late-wait-limiter.test.ts
@@ -1,6 +1,6 @@
-/** Whether waiting beyond the target still brings answers. */
+/** How many requests may wait although they will miss their target latency. */
 import test from 'ava';
-import { LateOutlook } from '../../src/sidecar/late-wait-limiter.js';
+import { LateWaitLimiter } from '../../src/sidecar/late-wait-limiter.js';
 
 const NOW_MS = 10_000;
 const WAIT_MS = 1_000;
@@ -13,45 +13,51 @@
   readonly passMs: number;
   readonly mayWait: boolean;
 }[] = [
-  { name: 'before anything was seen a few may wait', outcomes: [], waiting: 2, passMs: 0, mayWait: true },
-  { name: 'but not many', outcomes: [], waiting: 3, passMs: 0, mayWait: false },
+  { name: 'without any outcomes a few may wait', outcomes: [], waiting: 2, passMs: 0, mayWait: true },
   {
-    name: 'as many more as got places in the last second',
+    name: 'without any outcomes three waits are too many for six slots',
+    outcomes: [],
+    waiting: 3,
+    passMs: 0,
+    mayWait: false,
+  },
+  {
+    name: 'as many more may wait as got slots in the last second',
     outcomes: ['place', 'place', 'place'],
     waiting: 5,
     passMs: 0,
     mayWait: true,
   },
   {
-    name: 'places of earlier seconds tell nothing',
+    name: 'slots granted in earlier seconds do not count',
     outcomes: ['place', 'place', 'place'],
     waiting: 5,
     passMs: 1_000,
     mayWait: false,
   },
   {
-    name: 'one wait in vain among many is no sign',
+    name: 'one unsuccessful wait among several does not stop waiting',
     outcomes: ['place', 'place', 'in-vain'],
     waiting: 0,
     passMs: 0,
     mayWait: true,
   },
   {
-    name: 'three in a row are',
+    name: 'three unsuccessful waits in a row stop waiting',
     outcomes: ['in-vain', 'in-vain', 'in-vain'],
     waiting: 0,
     passMs: 0,
     mayWait: false,
   },
   {
-    name: 'callers that left are no sign',
+    name: 'withdrawn waits do not stop waiting',
     outcomes: ['withdrawn', 'withdrawn', 'withdrawn'],
     waiting: 0,
     passMs: 0,
     mayWait: true,
   },
   {
-    name: 'what was long ago is forgotten',
+    name: 'unsuccessful waits lose their weight with time',
     outcomes: ['in-vain', 'in-vain', 'in-vain', 'in-vain'],
     waiting: 0,
     passMs: 4_000,
@@ -61,13 +67,13 @@
 
 for (const { name, outcomes, waiting, passMs, mayWait } of CASES) {
   test(name, (t) => {
-    const outlook = new LateOutlook();
+    const limiter = new LateWaitLimiter();
     for (const outcome of outcomes) {
-      outlook.begin();
-      outlook.end(outcome, NOW_MS);
+      limiter.begin();
+      limiter.end(outcome, NOW_MS);
     }
-    for (let count = 0; count < waiting; count += 1) outlook.begin();
-    t.is(outlook.mayWait(WAIT_MS, SLOTS, NOW_MS + passMs), mayWait);
-    t.is(outlook.waiting, waiting);
+    for (let count = 0; count < waiting; count += 1) limiter.begin();
+    t.is(limiter.mayWait(WAIT_MS, SLOTS, NOW_MS + passMs), mayWait);
+    t.is(limiter.waiting, waiting);
   });
 }
--- a/test/sidecar/run-reporter.test.ts
+++ b/test/sidecar/run-reporter.test.ts
@@ -1,10 +1,10 @@
-/** When callers are told of runs that broke off, and what the guard is told of runs. */
+/** When failures of broken runs are delivered, and which runs are reported to the crash guard. */
 import test from 'ava';
 import type { InterruptedRun } from '../../src/quarantine/interrupted-runs.js';
 import type { IdentifiedRequest } from '../../src/quarantine/request-fingerprint.js';
 import type { RunOutcome } from '../../src/sidecar/backend-run.js';
 import { OPEN_GUARD, type CrashGuard } from '../../src/sidecar/crash-guard.js';
-import { RunReports } from '../../src/sidecar/run-reporter.js';
+import { RunReporter } from '../../src/sidecar/run-reporter.js';
 import { ManualTime } from './manual-runtime.js';
 
 const IDENTITY: IdentifiedRequest = {
@@ -22,24 +22,24 @@
 class World {
   readonly interrupted: InterruptedRun[] = [];
   readonly answered: number[] = [];
-  readonly told: string[] = [];
-  known: () => void = () => undefined;
-  readonly reports: RunReports;
+  readonly delivered: string[] = [];
+  endCheckDone: () => void = () => undefined;
+  readonly reporter: RunReporter;
 
   constructor() {
     const guard: CrashGuard = {
       ...OPEN_GUARD,
       answered: (_request, statusCode) => this.answered.push(statusCode),
       interrupted: (run) => this.interrupted.push(run),
-      runBroke: async () => {
-        await new Promise<void>((resolve) => (this.known = resolve));
+      checkBackendEnd: async () => {
+        await new Promise<void>((resolve) => (this.endCheckDone = resolve));
       },
     };
-    this.reports = new RunReports(guard, new ManualTime().runtime);
+    this.reporter = new RunReporter(guard, new ManualTime().runtime);
   }
 
   fail(reason: 'broken' | 'garbled'): void {
-    this.reports.fail({ ...FAILURE, reason }, ({ reason: told }) => this.told.push(told));
+    this.reporter.fail({ ...FAILURE, reason }, ({ reason: delivered }) => this.delivered.push(delivered));
   }
 }
 
@@ -47,29 +47,29 @@
   for (let turn = 0; turn < 5; turn += 1) await Promise.resolve();
 }
 
-test('a caller is told of a broken run once it is known what it showed, and of others at once', async (t) => {
+test('the failure of a broken run is delivered after the end check, and others at once', async (t) => {
   const world = new World();
   world.fail('garbled');
   world.fail('broken');
   await settle();
-  t.deepEqual(world.told, ['garbled']);
-  world.known();
+  t.deepEqual(world.delivered, ['garbled']);
+  world.endCheckDone();
   await settle();
-  t.deepEqual(world.told, ['garbled', 'broken']);
+  t.deepEqual(world.delivered, ['garbled', 'broken']);
 });
 
-test('a daemon that says goodbye has told of every failure before, since what has no answer counts as not run', async (t) => {
+test('all held failures are delivered before the goodbye, after which requests without an answer count as not run', async (t) => {
   const world = new World();
   world.fail('broken');
-  world.reports.flush();
-  t.deepEqual(world.told, ['broken']);
-  world.known();
+  world.reporter.flush();
+  t.deepEqual(world.delivered, ['broken']);
+  world.endCheckDone();
   await settle();
-  t.deepEqual(world.told, ['broken'], 'once');
+  t.deepEqual(world.delivered, ['broken'], 'once');
 });
 
 const OUTCOMES: readonly [string, RunOutcome, boolean][] = [
-  ['broken off by the back end', BROKEN, true],
+  ['broken by the back end', BROKEN, true],
   ['refused before it was sent', { ...BROKEN, sent: false }, false],
   ['garbled', { ...BROKEN, reason: 'garbled' }, false],
   ['cancelled by its caller', { kind: 'cancelled' }, true],
@@ -79,23 +79,23 @@
 ];
 
 for (const [name, outcome, isInterrupted] of OUTCOMES) {
-  test(`a run that was ${name} ${isInterrupted ? 'may be' : 'is not'} what its back end ends under`, (t) => {
+  test(`a run that was ${name} ${isInterrupted ? 'is' : 'is not'} reported as possibly ending its back end`, (t) => {
     const world = new World();
-    const fingerprint = world.reports.report(RUN, outcome);
+    const fingerprint = world.reporter.report(RUN, outcome);
     t.is(world.interrupted.length, isInterrupted ? 1 : 0);
     t.is(world.interrupted[0]?.fingerprint, fingerprint);
     t.deepEqual(world.answered, outcome.kind === 'answered' ? [200] : []);
   });
 }
 
-test('the run of a suspect is over at once, but after a break only when that is recorded', async (t) => {
+test('the run of a suspect ends at once, but a broken one only after the end check', async (t) => {
   const world = new World();
-  const over: string[] = [];
-  world.reports.whenKnown({ kind: 'deadline' }, () => over.push('deadline'));
-  world.reports.whenKnown(BROKEN, () => over.push('broken'));
+  const ended: string[] = [];
+  world.reporter.afterEndCheck({ kind: 'deadline' }, () => ended.push('deadline'));
+  world.reporter.afterEndCheck(BROKEN, () => ended.push('broken'));
   await settle();
-  t.deepEqual(over, ['deadline']);
-  world.known();
+  t.deepEqual(ended, ['deadline']);
+  world.endCheckDone();
   await settle();
-  t.deepEqual(over, ['deadline', 'broken']);
+  t.deepEqual(ended, ['deadline', 'broken']);
 });
