--- a/lab/chain/chain-daemon.ts
+++ b/lab/chain/chain-daemon.ts
@@ -6,7 +6,7 @@
 import { BackendChooser } from '../../src/sidecar/backend-chooser.js';
 import { BackendGateway } from '../../src/sidecar/backend-gateway.js';
 import { ColdStartLimit } from '../../src/sidecar/cold-start-limit.js';
-import { OPEN_GUARD } from '../../src/sidecar/crash-guard.js';
+import { NO_CRASH_GUARD } from '../../src/sidecar/crash-guard.js';
 import { BackendProber } from '../../src/sidecar/backend-prober.js';
 import { BackendView } from '../../src/sidecar/backend-view.js';
 import type { CallerSink, GivenUp } from '../../src/sidecar/caller-request.js';
@@ -178,7 +178,7 @@
     };
     const reply = makeReply(handlers, back, () => (this.ports.report.refusals += 1));
     this.transmit(other, () => {
-      if (!cancelled) accepted = other.gateway.take(head, body, reply);
+      if (!cancelled) accepted = other.gateway.accept(head, body, reply);
     });
     return {
       cancel: () => {
@@ -252,7 +252,7 @@
       pacer: null,
       backend,
       coldLimit: new ColdStartLimit({ factor: 1, slack: 0 }, 0),
-      guard: OPEN_GUARD,
+      guard: NO_CRASH_GUARD,
       instance: () => this.place.id,
       awaitsBackend: () => false,
       closesAtMs: () => Infinity,
--- a/src/sidecar/backend-gateway.ts
+++ b/src/sidecar/backend-gateway.ts
@@ -102,7 +102,7 @@
   readonly counters = createGatewayCounters();
   readonly admission: Admission;
   readonly forecast: WorkForecast<GatewayRequest>;
-  readonly lateOutlook = new LateWaitLimiter();
+  readonly lateWaitLimiter = new LateWaitLimiter();
   readonly suspects: SuspectScheduler;
   private readonly reporter: RunReporter;
   /** Requests that wait for the back end to register, or for their key to be granted. */
@@ -173,7 +173,7 @@
   }
 
   /** Accepts a request from this daemon or a peer. */
-  take(head: RequestHead, body: Buffer, reply: RequestReply): AcceptedRequest {
+  accept(head: RequestHead, body: Buffer, reply: RequestReply): AcceptedRequest {
     const nowMs = this.ports.runtime.nowMs();
     const request: GatewayRequest = {
       head,
@@ -215,12 +215,12 @@
   }
 
   /** Resets what is specific to an incarnation: broken runs of the previous one say nothing about the new one. */
-  startLife(): void {
+  startIncarnation(): void {
     this.circuitBreaker.reset();
   }
 
   /** Re-evaluates the waiting requests after a change of the back end's state, keys or crash records. */
-  reconsider(): void {
+  reevaluateWaiting(): void {
     for (const request of [...this.waiting]) {
       this.waiting.delete(request);
       this.evaluate(request);
@@ -266,10 +266,10 @@
 
   private addSuspect(request: GatewayRequest, fingerprint: string): void {
     const { head, arrivedMs } = request;
-    const spareMs = Math.max(0, head.remainingMs - this.forecast.workMs(head.route));
+    const spareTimeMs = Math.max(0, head.remainingMs - this.forecast.workMs(head.route));
     const suspect: SuspectRequest = {
       fingerprint,
-      expiresMs: arrivedMs + Math.min(MAX_SUSPECT_WAIT_MS, spareMs),
+      expiresMs: arrivedMs + Math.min(MAX_SUSPECT_WAIT_MS, spareTimeMs),
       start: () => this.startAlone(request),
       refuse: () => {
         this.refuse(request, this.stopped ? 'leaving' : 'busy');
@@ -352,11 +352,11 @@
     const waitMs = lateWaitMs(claim, nowMs - arrivedMs, forecast.workMs(head.route));
     const missesLink = forecast.isTooLateForLinkAfterWait(head, request, nowMs - arrivedMs);
     const mayBeAnswered = policyIsOn('late-waiting') && !this.stopped && waitMs > 0 && !missesLink;
-    if (!mayBeAnswered || !this.lateOutlook.mayWait(waitMs, this.admission.slots, nowMs)) {
+    if (!mayBeAnswered || !this.lateWaitLimiter.mayWait(waitMs, this.admission.slots, nowMs)) {
       this.refuse(request, 'busy');
       return;
     }
-    this.lateOutlook.begin();
+    this.lateWaitLimiter.begin();
     request.waitsLate = true;
     const slotRequest: SlotRequest = {
       priority: head.priority,
@@ -380,7 +380,7 @@
   private endLateWait(request: GatewayRequest, outcome: LateWaitOutcome): void {
     if (!request.waitsLate) return;
     request.waitsLate = false;
-    this.lateOutlook.end(outcome, this.ports.runtime.nowMs());
+    this.lateWaitLimiter.end(outcome, this.ports.runtime.nowMs());
   }
 
   /**
@@ -479,10 +479,10 @@
 
   private recordAnswer(route: string, usedMs: number, { bytes, pace }: AnsweredRun): void {
     const { forecast } = this;
-    const unreadableBefore = forecast.unreadableFigures;
+    const unreadableBefore = forecast.unreadablePaceReports;
     forecast.recordAnswer({ route, usedMs, bytes, pace });
     // Only the first one is logged; a counter holds the total.
-    const isFirst = unreadableBefore === 0 && forecast.unreadableFigures > 0;
+    const isFirst = unreadableBefore === 0 && forecast.unreadablePaceReports > 0;
     if (isFirst) this.ports.log.event('figure-unreadable', { figure: 'pace' });
   }
 
--- a/src/sidecar/backend-pace.ts
+++ b/src/sidecar/backend-pace.ts
@@ -29,7 +29,7 @@
 }
 
 /** Returns the expected pace `ageMs` after it was reported; it decays towards the mean. */
-export function fadedPace({ now, mean }: Pace, ageMs: number): number {
+export function decayedPace({ now, mean }: Pace, ageMs: number): number {
   return mean + (now - mean) * Math.exp(-Math.max(0, ageMs) / DECAY_TIME_MS);
 }
 
@@ -59,6 +59,6 @@
   /** Returns the expected pace; the nominal one if nothing was reported. */
   at(nowMs: number): Pace {
     if (this.latest === null) return NOMINAL_PACE;
-    return { now: fadedPace(this.latest, nowMs - this.latestMs), mean: this.latest.mean };
+    return { now: decayedPace(this.latest, nowMs - this.latestMs), mean: this.latest.mean };
   }
 }
--- a/src/sidecar/backend-view.ts
+++ b/src/sidecar/backend-view.ts
@@ -1,5 +1,5 @@
 /** What a calling daemon believes of back ends elsewhere: how busy they are, and whether they can be reached. */
-import { fadedPace } from './backend-pace.js';
+import { decayedPace } from './backend-pace.js';
 import type { StatusHead } from '../link/link-messages.js';
 
 /** Service time that is assumed before any was told, in ms. */
@@ -121,7 +121,7 @@
   private paceAt(nowMs: number): number {
     if (this.lastStatus === null) return 1;
     const { pace: now, meanPace: mean } = this.lastStatus;
-    return fadedPace({ now, mean }, this.statusAgeMs(nowMs));
+    return decayedPace({ now, mean }, this.statusAgeMs(nowMs));
   }
 
   /**
--- a/src/sidecar/cold-start-limit.ts
+++ b/src/sidecar/cold-start-limit.ts
@@ -21,7 +21,7 @@
 const REQUIRED_WARM_REPORTS = 2;
 
 /** Maximum time in ms for which one report can make a back end count as cold. */
-export const LONGEST_COLD_MS = 60_000;
+export const MAX_COLD_MS = 60_000;
 
 /** By how much the request rate of a cold back end may exceed what it can sustain. */
 export interface ColdStartBound {
@@ -56,17 +56,17 @@
   }
 
   /** Resets the state for a new incarnation of the back end, which is cold unless it reports otherwise. */
-  startLife(reportedMs: number | null, nowMs: number): void {
+  startIncarnation(reportedMs: number | null, nowMs: number): void {
     this.pendingWarmReports = 0;
     this.coldUntilMs = -Infinity;
-    this.takeTold(reportedMs ?? this.coldStart?.durationMs ?? 0, nowMs);
+    this.recordReport(reportedMs ?? this.coldStart?.durationMs ?? 0, nowMs);
   }
 
   /** Records how long in ms the back end reports to stay cold; null if it did not report it. */
-  takeTold(reportedMs: number | null, nowMs: number): void {
+  recordReport(reportedMs: number | null, nowMs: number): void {
     if (reportedMs === null) return;
     this.pendingWarmReports = reportedMs > 0 ? 0 : Math.max(0, this.pendingWarmReports - 1);
-    this.coldUntilMs = nowMs + Math.min(LONGEST_COLD_MS, reportedMs);
+    this.coldUntilMs = nowMs + Math.min(MAX_COLD_MS, reportedMs);
   }
 
   /** Treats the back end as cold until it has reported otherwise, because it may have become cold unnoticed. */
--- a/src/sidecar/crash-guard.ts
+++ b/src/sidecar/crash-guard.ts
@@ -20,7 +20,7 @@
 }
 
 /** A guard without crash records: admits every request and reports nothing. */
-export const OPEN_GUARD: CrashGuard = {
+export const NO_CRASH_GUARD: CrashGuard = {
   permits: { holds: () => false, request: () => undefined, release: () => undefined },
   classify: () => ({ stage: 'free', fingerprint: null, record: null }),
   answered: () => undefined,
--- a/src/sidecar/crash-watch.ts
+++ b/src/sidecar/crash-watch.ts
@@ -11,7 +11,7 @@
 import type { CrashGuard } from './crash-guard.js';
 import type { SuspectPermits } from './suspect-scheduler.js';
 
-/** Dependencies of a crash monitor. */
+/** Dependencies of a crash watch. */
 export interface CrashWatchPorts {
   readonly runtime: Runtime;
   readonly log: EventLog;
@@ -22,12 +22,12 @@
   readonly listens: () => Promise<boolean>;
   readonly send: (request: DirectoryRequest) => boolean;
   /** Called when a run broke, or the back end rejected a key as not its own: it may have restarted. */
-  readonly onDoubt: () => void;
+  readonly onPossibleRestart: () => void;
   /** Called when a suspect gets a permit to run. */
   readonly onPermit: () => void;
 }
 
-/** Crash monitor of one sidecar. */
+/** Crash watch of one sidecar. */
 export class CrashWatch implements CrashGuard {
   readonly permits: SuspectPermits;
   private readonly runs = new InterruptedRuns();
@@ -63,7 +63,7 @@
 
   /** See `CrashGuard`. */
   misdirected(): void {
-    this.ports.onDoubt();
+    this.ports.onPossibleRestart();
   }
 
   /** See `CrashGuard`. */
@@ -73,12 +73,12 @@
 
   /** See `CrashGuard`. */
   async checkBackendEnd(): Promise<void> {
-    this.ports.onDoubt();
+    this.ports.onPossibleRestart();
     await this.reporter.runBroke();
   }
 
   /** Called when a new incarnation of the back end has replaced one that had not announced that it leaves. */
-  lifeReplaced(previous: EndedLife): void {
+  incarnationReplaced(previous: EndedLife): void {
     this.reporter.lifeReplaced(previous);
   }
 
--- a/src/sidecar/sidecar-metrics.ts
+++ b/src/sidecar/sidecar-metrics.ts
@@ -43,7 +43,7 @@
   metrics.value(
     'backend_unreadable_figures',
     'Figures of its load that could not be read',
-    () => gateway.forecast.unreadableFigures,
+    () => gateway.forecast.unreadablePaceReports,
   );
   metrics.value('backend_ends', 'Times that it ended by itself under requests', () => node.crashes.ends);
   metrics.value('suspects_waiting', 'Requests that wait to run alone', () => gateway.suspects.waitingCount);
@@ -59,10 +59,10 @@
   metrics.value(
     'backend_waiting_late',
     'Of these, requests that will be late',
-    () => gateway.lateOutlook.waiting,
+    () => gateway.lateWaitLimiter.waiting,
   );
   metrics.family('late_waits', 'Ended waits of late requests, by how they ended', 'outcome', () =>
-    Object.entries(gateway.lateOutlook.counters),
+    Object.entries(gateway.lateWaitLimiter.counters),
   );
   metrics.value('backend_slots', 'Places at the back end', () => gateway.admission.slots);
   metrics.value('backend_connections_opened', 'Connections opened to it', () => node.backendClient.opened);
--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -163,7 +163,7 @@
     });
     this.requests = this.makeRequests();
     this.linkServer = this.transport.links({
-      take: (head, body, reply) => this.gateway.take(head, body, reply),
+      take: (head, body, reply) => this.gateway.accept(head, body, reply),
       status: () => this.gateway.status(),
       pacer: this.pacer,
     });
@@ -218,21 +218,21 @@
     if (!(await this.presence.admits(heartbeat))) return null;
     const before = this.presentLife();
     const news = this.presence.take(heartbeat, arrivedMs);
-    if (news === 'new-life' && before !== null) this.crashes.lifeReplaced(before);
+    if (news === 'new-life' && before !== null) this.crashes.incarnationReplaced(before);
     if (news === 'stale') return null;
     if (news === 'new-life') this.newLife(heartbeat);
-    else this.coldLimit.takeTold(heartbeat.coldLeftMs, this.runtime.steadyMs());
+    else this.coldLimit.recordReport(heartbeat.coldLeftMs, this.runtime.steadyMs());
     this.gateway.setSlots(heartbeat.slots);
     this.presence.register();
     this.keys.take(heartbeat);
-    this.gateway.reconsider();
+    this.gateway.reevaluateWaiting();
     return await this.keys.answer(heartbeat, arrivedMs);
   }
 
   /** A life of the back end says that it leaves and sends no more heartbeats; what it said binds, also if it is not known. */
   async leave(said: BackendLife): Promise<void> {
     await this.presence.leave(said);
-    this.gateway.reconsider();
+    this.gateway.reevaluateWaiting();
   }
 
   /** Whether back ends of a service are named here, as far as the configuration is known. */
@@ -311,7 +311,7 @@
       send: (request) => this.directory.send(request),
       isPresent: async () => await this.presence.isKnownLife(),
       onGained: () => {
-        this.gateway.reconsider();
+        this.gateway.reevaluateWaiting();
       },
     });
   }
@@ -331,11 +331,11 @@
       listens: this.options.backendListens,
       holdsNothing: () => this.keys.holdsNothing,
       onConfirmed: () => {
-        this.gateway.reconsider();
+        this.gateway.reevaluateWaiting();
       },
       onGone: () => {
         this.keys.clear();
-        this.gateway.reconsider();
+        this.gateway.reevaluateWaiting();
       },
     });
   }
@@ -370,7 +370,7 @@
       life: () => this.presentLife(),
       listens: this.options.backendListens,
       send: (request) => this.directory.send(request),
-      onDoubt: () => {
+      onPossibleRestart: () => {
         this.keys.doubtLife();
       },
       onPermit: () => {
@@ -462,8 +462,8 @@
     const { sequence, slots, coldLeftMs } = heartbeat;
     const { life, confirmed } = this.backend;
     this.log.event('backend-known', { instance: life, sequence, slots, coldLeftMs, confirmed });
-    this.coldLimit.startLife(coldLeftMs, this.runtime.steadyMs());
-    this.gateway.startLife();
+    this.coldLimit.startIncarnation(coldLeftMs, this.runtime.steadyMs());
+    this.gateway.startIncarnation();
     this.gateway.forecast.pace.forget();
     this.adoptEvacuation();
     this.keys.clear();
@@ -479,7 +479,7 @@
     this.lease.tableChanged();
     this.keys.tableChanged();
     this.callers.applyLimits();
-    this.gateway.reconsider();
+    this.gateway.reevaluateWaiting();
     this.requests.tableChanged();
     this.peers.keepOnly(this.table.instances());
   }
--- a/src/sidecar/work-forecast.ts
+++ b/src/sidecar/work-forecast.ts
@@ -43,7 +43,7 @@
 export class WorkForecast<Owner> {
   readonly pace = new BackendPace();
   /** Number of reported paces that were not readable; these are ignored. */
-  unreadableFigures = 0;
+  unreadablePaceReports = 0;
   /** Processing time in ms by route, normalized to the usual pace. */
   private readonly workTimes = new RouteMeans();
   private readonly answerBytes = new RouteMeans();
@@ -142,7 +142,7 @@
   private recordPace(reported: number | null): void {
     if (reported === null) return;
     const pace = clampPace(reported);
-    if (pace === null) this.unreadableFigures += 1;
+    if (pace === null) this.unreadablePaceReports += 1;
     else this.pace.record(pace, this.ports.nowMs());
   }
 }
--- a/test/sidecar/backend-gateway.test.ts
+++ b/test/sidecar/backend-gateway.test.ts
@@ -8,7 +8,7 @@
 import { BackendGateway } from '../../src/sidecar/backend-gateway.js';
 import { ColdStartLimit } from '../../src/sidecar/cold-start-limit.js';
 import type { CrashStage } from '../../src/quarantine/crash-records.js';
-import { OPEN_GUARD } from '../../src/sidecar/crash-guard.js';
+import { NO_CRASH_GUARD } from '../../src/sidecar/crash-guard.js';
 import { DEFAULT_HEADER_DIALECT } from '../../src/sidecar/header-dialect.js';
 import { SILENT_EVENT_LOG } from '../../src/telemetry/event-log.js';
 import { NO_LATENCIES } from '../../src/telemetry/latencies.js';
@@ -58,7 +58,7 @@
       ),
       coldLimit: this.coldLimit,
       guard: {
-        ...OPEN_GUARD,
+        ...NO_CRASH_GUARD,
         classify: () => ({ stage: this.stage, fingerprint: 'fingerprint', record: null }),
       },
       instance: () => 'life-1',
@@ -91,9 +91,9 @@
 test('a request for another incarnation, or after the back end has closed, is refused', async (t) => {
   const world = new World();
   const gateway = await world.gateway();
-  gateway.take({ ...HEAD, instance: 'life-0' }, Buffer.alloc(0), world.reply());
+  gateway.accept({ ...HEAD, instance: 'life-0' }, Buffer.alloc(0), world.reply());
   world.closesAtMs = world.time.nowMs;
-  gateway.take(HEAD, Buffer.alloc(0), world.reply());
+  gateway.accept(HEAD, Buffer.alloc(0), world.reply());
   t.deepEqual(world.refusals, ['unknown-instance', 'leaving']);
   t.is(gateway.runningCount, 0);
   gateway.stop();
@@ -102,7 +102,7 @@
 test('the status counts running and waiting requests', async (t) => {
   const world = new World();
   const gateway = await world.gateway();
-  for (let taken = 0; taken < 3; taken += 1) gateway.take(HEAD, Buffer.alloc(0), world.reply());
+  for (let taken = 0; taken < 3; taken += 1) gateway.accept(HEAD, Buffer.alloc(0), world.reply());
   t.like(gateway.status(), { instance: 'life-1', running: 2, waiting: 1, slots: 2, accepting: true });
   gateway.stop();
 });
@@ -111,7 +111,7 @@
   test(`a request that became ${stage} while it waited for a slot does not take it`, async (t) => {
     const world = new World();
     const gateway = await world.gateway();
-    for (let taken = 0; taken < 3; taken += 1) gateway.take(HEAD, Buffer.alloc(0), world.reply());
+    for (let taken = 0; taken < 3; taken += 1) gateway.accept(HEAD, Buffer.alloc(0), world.reply());
     world.stage = stage;
     gateway.setSlots(3);
     t.is(gateway.runningCount, 2);
@@ -133,7 +133,7 @@
 /** Fills both slots and queues `waiting` more requests. */
 async function fullGateway(world: World, waiting = 0): Promise<BackendGateway> {
   const gateway = await world.gateway();
-  for (let taken = 0; taken < 2 + waiting; taken += 1) gateway.take(HEAD, Buffer.alloc(0), world.reply());
+  for (let taken = 0; taken < 2 + waiting; taken += 1) gateway.accept(HEAD, Buffer.alloc(0), world.reply());
   return gateway;
 }
 
@@ -141,7 +141,7 @@
   const world = new World();
   const gateway = await fullGateway(world, 40);
   const refusedBefore = world.refusals.length;
-  gateway.take(HEAD, Buffer.alloc(0), world.reply());
+  gateway.accept(HEAD, Buffer.alloc(0), world.reply());
   t.is(world.refusals.length, refusedBefore + 1);
   t.true((world.retryAfterMs.at(-1) ?? 0) > 100, 'the queue is long');
   gateway.stop();
@@ -151,7 +151,7 @@
   const world = new World();
   const gateway = await fullGateway(world);
   const late = { ...HEAD, targetLeftMs: 0, patienceMs: 0, remainingMs: 1_000, spentMs: 700 };
-  gateway.take(late, Buffer.alloc(0), world.reply());
+  gateway.accept(late, Buffer.alloc(0), world.reply());
   world.time.pass(880);
   t.deepEqual(world.refusals, []);
   world.time.pass(40);
@@ -164,11 +164,11 @@
   const gateway = await fullGateway(world);
   const late = { ...HEAD, targetLeftMs: 0, patienceMs: 0, remainingMs: 300, spentMs: 1_400 };
   for (let taken = 0; taken < 3; taken += 1) {
-    gateway.take(late, Buffer.alloc(0), world.reply());
+    gateway.accept(late, Buffer.alloc(0), world.reply());
     world.time.pass(300);
   }
   t.is(world.refusals.length, 3);
-  gateway.take({ ...late, remainingMs: 1_000 }, Buffer.alloc(0), world.reply());
+  gateway.accept({ ...late, remainingMs: 1_000 }, Buffer.alloc(0), world.reply());
   world.time.pass(60);
   t.is(world.refusals.length, 4);
   gateway.stop();
@@ -177,7 +177,7 @@
 test('load is counted once, on arrival', async (t) => {
   const world = new World();
   const gateway = await world.gateway();
-  gateway.take({ ...HEAD, key: 7 }, Buffer.alloc(0), world.reply());
+  gateway.accept({ ...HEAD, key: 7 }, Buffer.alloc(0), world.reply());
   const asked = world.countedWorkMs;
   t.true(asked > 0);
   world.time.pass(20);
@@ -201,7 +201,7 @@
     const world = new World();
     world.holdsKey = false;
     const gateway = await world.gateway();
-    gateway.take({ ...HEAD, key: 7, spentMs }, Buffer.alloc(0), world.reply());
+    gateway.accept({ ...HEAD, key: 7, spentMs }, Buffer.alloc(0), world.reply());
     world.time.pass(waitsMs);
     t.deepEqual(world.refusals, []);
     world.time.pass(60);
--- a/test/sidecar/backend-pace.test.ts
+++ b/test/sidecar/backend-pace.test.ts
@@ -1,7 +1,7 @@
 /** Estimate of the pace of a back end, and handling of invalid reports. */
 import test from 'ava';
 import { PLATFORM_HEADERS } from '../../platform/wire-names.js';
-import { BackendPace, clampPace, fadedPace } from '../../src/sidecar/backend-pace.js';
+import { BackendPace, clampPace, decayedPace } from '../../src/sidecar/backend-pace.js';
 import { BackendView } from '../../src/sidecar/backend-view.js';
 
 test('a recent report is used as it is, and an old one decays to the mean', (t) => {
@@ -17,7 +17,7 @@
 });
 
 test('a report with a negative age counts as new', (t) => {
-  t.is(fadedPace({ now: 3, mean: 1 }, -5), 3);
+  t.is(decayedPace({ now: 3, mean: 1 }, -5), 3);
 });
 
 const READ: readonly [string, number | null][] = [
--- a/test/sidecar/cold-start-limit.test.ts
+++ b/test/sidecar/cold-start-limit.test.ts
@@ -1,7 +1,7 @@
 /** Rate limit of a cold back end, for any arrivals and any order of reports. */
 import test from 'ava';
 import fc from 'fast-check';
-import { ColdStartLimit, LONGEST_COLD_MS } from '../../src/sidecar/cold-start-limit.js';
+import { ColdStartLimit, MAX_COLD_MS } from '../../src/sidecar/cold-start-limit.js';
 
 const BOUND = { factor: 1.5, slack: 8 };
 const COLD_START = { durationMs: 3_000, requestsPerSecond: 14 };
@@ -36,7 +36,7 @@
 
 test('requests to a cold back end are evenly spaced at the rate that it can sustain', (t) => {
   const limit = limitAt(-10_000);
-  limit.startLife(3_000, 0);
+  limit.startIncarnation(3_000, 0);
   const sent = sendAll(limit, 0, 2_999);
   const gaps = sent.slice(2).map((at, index) => at - (sent[index + 1] ?? 0));
   t.true(Math.max(...gaps) <= 73 && Math.min(...gaps) >= 70, `gaps of ${gaps.join(', ')} ms`);
@@ -45,7 +45,7 @@
 
 test('a daemon that has just started sends a cold back end nothing for one window', (t) => {
   const limit = limitAt(0);
-  limit.startLife(3_000, 100);
+  limit.startIncarnation(3_000, 100);
   t.true((sendAll(limit, 100, 2_000)[0] ?? 0) > 1_000);
 });
 
@@ -53,10 +53,10 @@
   const holds = fc.check(
     fc.property(fc.array(fc.nat(2_000), { maxLength: 200 }), fc.nat(2_000), (arrivals, coldAtMs) => {
       const limit = limitAt(-10_000);
-      limit.startLife(0, -5_000);
+      limit.startIncarnation(0, -5_000);
       const before = arrivals.filter((at) => at < coldAtMs).sort((left, right) => left - right);
       for (const at of before) limit.recordSent(at);
-      limit.takeTold(3_000, coldAtMs);
+      limit.recordReport(3_000, coldAtMs);
       const sent = sendAll(limit, coldAtMs, coldAtMs + 2_500);
       for (const fromMs of sent) {
         const all = [...before, ...sent].filter((at) => at > fromMs - 1_000 && at <= fromMs).length;
@@ -70,17 +70,21 @@
 });
 
 test('for any order of reports the requests sent while it counts as cold stay within the bound', (t) => {
-  const told = fc.record({ at: fc.nat(6_000), toldMs: fc.option(fc.nat(4_000)), assumed: fc.boolean() });
+  const report = fc.record({
+    at: fc.nat(6_000),
+    reportedMs: fc.option(fc.nat(4_000)),
+    assumed: fc.boolean(),
+  });
   const holds = fc.check(
-    fc.property(fc.array(told, { maxLength: 12 }), (reports) => {
+    fc.property(fc.array(report, { maxLength: 12 }), (reports) => {
       const limit = limitAt(-10_000);
-      limit.startLife(6_000, 0);
+      limit.startIncarnation(6_000, 0);
       const cold: number[] = [];
       for (let nowMs = 0; nowMs < 6_000; nowMs += 5) {
-        for (const { at, toldMs, assumed } of reports) {
+        for (const { at, reportedMs, assumed } of reports) {
           if (at < nowMs - 4 || at > nowMs) continue;
           if (assumed) limit.assumeCold();
-          else limit.takeTold(toldMs, nowMs);
+          else limit.recordReport(reportedMs, nowMs);
         }
         // Nothing is sent here while it counts as warm, so every counted request went to a cold back end.
         while (limit.isCold(nowMs) && limit.delayMs(0, nowMs) <= 0) {
@@ -96,38 +100,38 @@
 
 test('a back end that may have become cold unnoticed counts as cold until two reports say otherwise', (t) => {
   const limit = limitAt(-10_000);
-  limit.startLife(0, 0);
+  limit.startIncarnation(0, 0);
   t.false(limit.isCold(10));
   limit.assumeCold();
   t.true(limit.isCold(10));
-  limit.takeTold(0, 20);
+  limit.recordReport(0, 20);
   t.true(limit.isCold(30), 'the first report may date from before it became cold');
-  limit.takeTold(0, 900);
+  limit.recordReport(0, 900);
   t.false(limit.isCold(910));
 });
 
 test('a report without the value changes nothing, a new incarnation without it is cold, a huge value is clamped', (t) => {
   const limit = limitAt(-10_000);
-  limit.startLife(null, 0);
+  limit.startIncarnation(null, 0);
   t.true(limit.isCold(2_999));
   t.false(limit.isCold(3_001));
-  limit.takeTold(1_000, 4_000);
-  limit.takeTold(null, 4_100);
+  limit.recordReport(1_000, 4_000);
+  limit.recordReport(null, 4_100);
   t.true(limit.isCold(4_900));
-  limit.takeTold(1e12, 5_000);
-  t.false(limit.isCold(5_001 + LONGEST_COLD_MS));
+  limit.recordReport(1e12, 5_000);
+  t.false(limit.isCold(5_001 + MAX_COLD_MS));
 });
 
 test('nothing is limited if the service configures no rate', (t) => {
   const limit = new ColdStartLimit(BOUND, 0);
-  limit.startLife(3_000, 0);
+  limit.startIncarnation(3_000, 0);
   t.is(limit.delayMs(5, 10), 0);
   t.is(limit.estimate(10), null);
 });
 
 test('the estimate reports how soon further requests are accepted', (t) => {
   const limit = limitAt(-10_000);
-  limit.startLife(2_000, 0);
+  limit.startIncarnation(2_000, 0);
   limit.recordSent(0);
   limit.recordSent(0);
   t.deepEqual(limit.estimate(0), { delayMs: 71, intervalMs: 71, leftMs: 2_000 });
--- a/test/sidecar/gateway-reserved-slots.test.ts
+++ b/test/sidecar/gateway-reserved-slots.test.ts
@@ -7,7 +7,7 @@
 import type { BackendClient } from '../../src/sidecar/backend-client.js';
 import { BackendGateway } from '../../src/sidecar/backend-gateway.js';
 import { ColdStartLimit } from '../../src/sidecar/cold-start-limit.js';
-import { OPEN_GUARD } from '../../src/sidecar/crash-guard.js';
+import { NO_CRASH_GUARD } from '../../src/sidecar/crash-guard.js';
 import type { RunPorts } from '../../src/sidecar/backend-run.js';
 import { SILENT_EVENT_LOG } from '../../src/telemetry/event-log.js';
 import { NO_LATENCIES } from '../../src/telemetry/latencies.js';
@@ -85,7 +85,7 @@
     pacer: this.pacer,
     backend: this.backend,
     coldLimit: new ColdStartLimit({ factor: 1, slack: 0 }, 0),
-    guard: OPEN_GUARD,
+    guard: NO_CRASH_GUARD,
     instance: () => 'life-1',
     awaitsBackend: () => false,
     closesAtMs: () => Infinity,
@@ -104,7 +104,7 @@
       refuse: ({ reason }: { reason: string }) => this.refusals.push(reason),
       fail: ({ reason }: { reason: string }) => this.failures.push(reason),
     } as unknown as RequestReply;
-    return Array.from({ length: count }, () => this.gateway.take(head, Buffer.alloc(0), reply));
+    return Array.from({ length: count }, () => this.gateway.accept(head, Buffer.alloc(0), reply));
   }
 
   /** Runs one request of each kind, so that the gateway learns how long they take. */
@@ -152,7 +152,7 @@
   world.take(LONG);
   world.backend.pace = NaN;
   world.backend.endAll();
-  t.is(world.gateway.forecast.unreadableFigures, 1);
+  t.is(world.gateway.forecast.unreadablePaceReports, 1);
   t.is(world.gateway.status()?.pace, 2);
 });
 
--- a/test/sidecar/run-reporter.test.ts
+++ b/test/sidecar/run-reporter.test.ts
@@ -3,7 +3,7 @@
 import type { InterruptedRun } from '../../src/quarantine/interrupted-runs.js';
 import type { IdentifiedRequest } from '../../src/quarantine/request-fingerprint.js';
 import type { RunOutcome } from '../../src/sidecar/backend-run.js';
-import { OPEN_GUARD, type CrashGuard } from '../../src/sidecar/crash-guard.js';
+import { NO_CRASH_GUARD, type CrashGuard } from '../../src/sidecar/crash-guard.js';
 import { RunReporter } from '../../src/sidecar/run-reporter.js';
 import { ManualTime } from './manual-runtime.js';
 
@@ -28,7 +28,7 @@
 
   constructor() {
     const guard: CrashGuard = {
-      ...OPEN_GUARD,
+      ...NO_CRASH_GUARD,
       answered: (_request, statusCode) => this.answered.push(statusCode),
       interrupted: (run) => this.interrupted.push(run),
       checkBackendEnd: async () => {
--- a/test/sidecar/sidecar-node.test.ts
+++ b/test/sidecar/sidecar-node.test.ts
@@ -315,7 +315,7 @@
     targetLeftMs: 100,
     spentMs: 0,
   };
-  node.gateway.take(head, Buffer.alloc(0), reply);
+  node.gateway.accept(head, Buffer.alloc(0), reply);
   return refused;
 }
 
