--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -164,7 +164,7 @@
     });
     this.requests = this.makeRequests();
     this.linkServer = this.transport.links({
-      take: (head, body, reply) => this.gateway.take(head, body, reply),
+      take: (head, body, reply) => this.gateway.accept(head, body, reply),
       status: () => this.gateway.status(),
       pacer: this.pacer,
     });
@@ -222,14 +222,14 @@
     if (!(await this.presence.accepts(heartbeat))) return null;
     const previous = this.currentIncarnation();
     const outcome = this.presence.recordHeartbeat(heartbeat, arrivedMs);
-    if (outcome === 'new-life' && previous !== null) this.crashes.lifeReplaced(previous);
+    if (outcome === 'new-life' && previous !== null) this.crashes.incarnationReplaced(previous);
     if (outcome === 'stale') return null;
     if (outcome === 'new-life') this.startIncarnation(heartbeat);
-    else this.coldLimit.takeTold(heartbeat.coldLeftMs, this.runtime.steadyMs());
+    else this.coldLimit.recordReport(heartbeat.coldLeftMs, this.runtime.steadyMs());
     this.gateway.setSlots(heartbeat.slots);
     this.presence.register();
     this.keys.recordHeartbeat(heartbeat);
-    this.gateway.reconsider();
+    this.gateway.reevaluateWaiting();
     return await this.keys.answer(heartbeat, arrivedMs);
   }
 
@@ -239,7 +239,7 @@
    */
   async leave(reported: BackendLife): Promise<void> {
     await this.presence.leave(reported);
-    this.gateway.reconsider();
+    this.gateway.reevaluateWaiting();
   }
 
   /** Whether a service is known here: it is the back end's own, or the configuration defines it. */
@@ -319,7 +319,7 @@
       send: (request) => this.directory.send(request),
       isPresent: async () => await this.presence.isKnownIncarnationPresent(),
       onKeysGained: () => {
-        this.gateway.reconsider();
+        this.gateway.reevaluateWaiting();
       },
     });
   }
@@ -339,11 +339,11 @@
       listens: this.options.backendListens,
       holdsNoKeys: () => this.keys.holdsNoKeys,
       onConfirmed: () => {
-        this.gateway.reconsider();
+        this.gateway.reevaluateWaiting();
       },
       onRemoved: () => {
         this.keys.clear();
-        this.gateway.reconsider();
+        this.gateway.reevaluateWaiting();
       },
     });
   }
@@ -378,11 +378,11 @@
       life: () => this.currentIncarnation(),
       listens: this.options.backendListens,
       send: (request) => this.directory.send(request),
-      onDoubt: () => {
+      onPossibleRestart: () => {
         this.keys.suspectRestart();
       },
       onPermit: () => {
-        this.gateway.suspects.step();
+        this.gateway.suspects.check();
       },
     });
   }
@@ -471,8 +471,8 @@
     const { sequence, slots, coldLeftMs } = heartbeat;
     const { life, confirmed } = this.backend;
     this.log.event('backend-known', { instance: life, sequence, slots, coldLeftMs, confirmed });
-    this.coldLimit.startLife(coldLeftMs, this.runtime.steadyMs());
-    this.gateway.startLife();
+    this.coldLimit.startIncarnation(coldLeftMs, this.runtime.steadyMs());
+    this.gateway.startIncarnation();
     this.gateway.forecast.pace.forget();
     this.applyEvacuation();
     this.keys.clear();
@@ -488,7 +488,7 @@
     this.lease.tableChanged();
     this.keys.tableChanged();
     this.callers.applyLimits();
-    this.gateway.reconsider();
+    this.gateway.reevaluateWaiting();
     this.requests.tableChanged();
     this.peers.keepOnly(this.table.instances());
   }
