--- a/src/consensus/disk-steps.ts
+++ b/src/consensus/disk-steps.ts
@@ -1,32 +1,32 @@
 /**
- * What the effects of one batch of events do to the disk, in order. After a loss of power each write since the last
- * sync is there, missing or torn, whatever became of the writes before it. So no write to the log follows another one
- * that is not synced: a lost truncation under a kept append would leave a log that cannot be read.
+ * Ordered disk operations for the effects of one batch of events. After a power loss each write since the last sync
+ * may be complete, missing or torn, independently of earlier writes. Therefore every write to the log is synced before
+ * the next one: a lost truncation followed by a completed append would leave an unreadable log.
  */
 import type { RaftEffect } from './raft-types.js';
 
-/** An effect that goes to disk. */
+/** An effect that writes to disk. */
 export type DiskEffect = Extract<
   RaftEffect,
   { readonly kind: 'persist-hard-state' | 'persist-entries' | 'truncate-log' | 'install-snapshot' }
 >;
 
-/** One step on the disk. */
+/** One disk operation. */
 export type DiskStep = DiskEffect | { readonly kind: 'sync' };
 
 const SYNC: DiskStep = { kind: 'sync' };
 
-/** The steps of a batch. Entries that follow each other are joined, since each write has its price. */
+/** Returns the disk operations of a batch. Consecutive appends are merged into one write to save disk operations. */
 export function diskSteps(effects: readonly RaftEffect[]): DiskStep[] {
   const steps: DiskStep[] = [];
-  let unsynced = false;
-  for (const effect of joinAppends(effects.filter(isDiskEffect))) {
+  let hasUnsyncedLogWrite = false;
+  for (const effect of mergeAppends(effects.filter(isDiskEffect))) {
     const writesLog = effect.kind === 'persist-entries' || effect.kind === 'truncate-log';
-    if (writesLog && unsynced) steps.push(SYNC);
-    if (writesLog) unsynced = true;
+    if (writesLog && hasUnsyncedLogWrite) steps.push(SYNC);
+    if (writesLog) hasUnsyncedLogWrite = true;
     steps.push(effect);
   }
-  if (unsynced) steps.push(SYNC);
+  if (hasUnsyncedLogWrite) steps.push(SYNC);
   return steps;
 }
 
@@ -42,15 +42,15 @@
   }
 }
 
-function joinAppends(effects: readonly DiskEffect[]): DiskEffect[] {
-  const joined: DiskEffect[] = [];
+function mergeAppends(effects: readonly DiskEffect[]): DiskEffect[] {
+  const merged: DiskEffect[] = [];
   for (const effect of effects) {
-    const last = joined.at(-1);
+    const last = merged.at(-1);
     if (last?.kind === 'persist-entries' && effect.kind === 'persist-entries') {
-      joined[joined.length - 1] = { ...last, entries: [...last.entries, ...effect.entries] };
+      merged[merged.length - 1] = { ...last, entries: [...last.entries, ...effect.entries] };
     } else {
-      joined.push(effect);
+      merged.push(effect);
     }
   }
-  return joined;
+  return merged;
 }
--- a/src/consensus/entry-applier.ts
+++ b/src/consensus/entry-applier.ts
@@ -1,22 +1,22 @@
 /**
- * Applies committed entries to the state machine in slices, so that many entries at once do not keep heartbeats
- * waiting for longer than the election timeout.
+ * Applies committed entries to the state machine in slices, so that a large number of entries does not delay
+ * heartbeats beyond the election timeout.
  */
 import type { Runtime } from '../runtime/runtime.js';
 import type { LogEntry } from './raft-types.js';
 import type { StateMachine } from './replica.js';
 
-/** Entries and time in ms after which a slice ends. */
-const SLICE_ENTRIES = 64;
-const SLICE_MS = 10;
+/** Number of entries and time in ms after which a slice ends. */
+const MAX_SLICE_ENTRIES = 64;
+const MAX_SLICE_MS = 10;
 
 type Task =
   | { readonly kind: 'apply'; readonly entry: LogEntry }
   | { readonly kind: 'restore'; readonly data: unknown; readonly index: number };
 
-/** Applies in order; entries that a snapshot has replaced are left out. */
+/** Applies entries and snapshots in order; skips entries that a snapshot already contains. */
 export class EntryApplier {
-  /** Entries that were applied. */
+  /** Number of entries applied. */
   entriesApplied = 0;
   private readonly waiting: Task[] = [];
   private scheduled = false;
@@ -28,18 +28,18 @@
     private readonly onFailure: (error: unknown) => void,
   ) {}
 
-  /** Index of the newest entry that the state machine has taken. */
+  /** Index of the last entry applied to the state machine. */
   get appliedIndex(): number {
     return this.index;
   }
 
-  /** Adds committed entries. */
+  /** Queues committed entries. */
   add(entries: readonly LogEntry[]): void {
     for (const entry of entries) this.waiting.push({ kind: 'apply', entry });
     if (!this.scheduled) this.runSlice();
   }
 
-  /** Adds the replacement of the state by a snapshot. */
+  /** Queues the replacement of the state by a snapshot. */
   restore(data: unknown, index: number): void {
     this.waiting.push({ kind: 'restore', data, index });
     if (!this.scheduled) this.runSlice();
@@ -48,11 +48,11 @@
   private runSlice(): void {
     this.scheduled = false;
     const startedMs = this.runtime.nowMs();
-    for (let done = 0; done < SLICE_ENTRIES; done += 1) {
+    for (let done = 0; done < MAX_SLICE_ENTRIES; done += 1) {
       const task = this.waiting.shift();
       if (task === undefined) return;
       this.run(task);
-      if (this.runtime.nowMs() - startedMs >= SLICE_MS) break;
+      if (this.runtime.nowMs() - startedMs >= MAX_SLICE_MS) break;
     }
     if (this.waiting.length > 0) this.scheduleSlice();
   }
--- a/src/consensus/full-disk.ts
+++ b/src/consensus/full-disk.ts
@@ -1,18 +1,18 @@
 /**
- * A disk that is full refuses writes and may have room again later. Until then a replica does nothing at all: to
- * others it looks like one that is frozen, and it has promised nothing that is not on its disk.
+ * Retries writes while the disk is full. Until space is available the replica makes no progress: to its peers it
+ * appears frozen, and it has acknowledged nothing that is not on its disk.
  */
 import { pause } from '../runtime/pause.js';
 import type { Runtime } from '../runtime/runtime.js';
 
-/** Pause before a refused write is repeated, in ms. */
-const REPEAT_PAUSE_MS = 200;
+/** Delay before a failed write is retried, in ms. */
+const RETRY_DELAY_MS = 200;
 
-/** Codes of errors of a disk without room. */
+/** Error codes of a full disk and of an exhausted quota. */
 const FULL_DISK_CODES: ReadonlySet<string> = new Set(['ENOSPC', 'EDQUOT']);
 
-/** Does a write that can be repeated, until the disk has room for it; other errors are thrown. */
-export async function whenDiskHasRoom(runtime: Runtime, write: () => Promise<void>): Promise<void> {
+/** Runs an idempotent write, retrying while the disk is full; throws any other error. */
+export async function retryWhileDiskFull(runtime: Runtime, write: () => Promise<void>): Promise<void> {
   for (;;) {
     try {
       await write();
@@ -20,6 +20,6 @@
     } catch (error) {
       if (!FULL_DISK_CODES.has((error as NodeJS.ErrnoException).code ?? '')) throw error;
     }
-    await pause(runtime, REPEAT_PAUSE_MS);
+    await pause(runtime, RETRY_DELAY_MS);
   }
 }
--- a/src/consensus/join-core.ts
+++ b/src/consensus/join-core.ts
@@ -1,40 +1,40 @@
 /**
- * How a replica that is not a member becomes one: the leader removes the voter of the same name whose
- * folder was lost, adds the newcomer as a learner, and makes it a voter once it holds the log durably.
- * Each step is one single-server change.
+ * Adds a replica that is not a member: the leader removes the voter of the same name whose data folder was lost,
+ * adds the new replica as a learner, and promotes it to voter once its durable log has caught up.
+ * Each step is a single-server membership change.
  */
 import { replicaName, type Membership, type ReplicaId } from './raft-types.js';
 
-/** Entries that a learner may lack when it is made a voter. */
-const CAUGHT_UP_ENTRIES = 16;
+/** Maximum number of entries by which a learner may trail the commit index when it is promoted to voter. */
+const MAX_LEARNER_LAG_ENTRIES = 16;
 
-/** What the leader knows when it considers a newcomer. */
+/** The leader's state that decides the next membership change for a joining replica. */
 export interface JoinView {
   readonly membership: Membership;
   readonly commitIndex: number;
-  /** Newest entry that is durable at the newcomer; null when it is not yet a peer. */
+  /** Index of the last entry known to be durable at a replica; null when the replica is not a peer yet. */
   readonly matchIndexOf: (id: ReplicaId) => number | null;
-  /** Whether a member has answered the leader lately. */
+  /** Whether a member has recently answered the leader. */
   readonly isActive: (id: ReplicaId) => boolean;
 }
 
-/** The next membership on the way to making `newcomer` a voter, or null when there is nothing to do now. */
+/** Returns the next membership towards making `newcomer` a voter, or null when no change is possible or needed. */
 export function nextMembership(newcomer: ReplicaId, view: JoinView): Membership | null {
   const { voters, learners } = view.membership;
   if (voters.includes(newcomer)) return null;
-  const namesake = voters.find((id) => replicaName(id) === replicaName(newcomer));
-  if (namesake !== undefined) {
-    if (view.isActive(namesake)) return null;
-    return { voters: voters.filter((id) => id !== namesake), learners };
+  const previousVoter = voters.find((id) => replicaName(id) === replicaName(newcomer));
+  if (previousVoter !== undefined) {
+    if (view.isActive(previousVoter)) return null;
+    return { voters: voters.filter((id) => id !== previousVoter), learners };
   }
   if (!learners.includes(newcomer))
-    return { voters, learners: [...withoutNamesakes(learners, newcomer), newcomer] };
+    return { voters, learners: [...withoutSameName(learners, newcomer), newcomer] };
   const matchIndex = view.matchIndexOf(newcomer);
-  if (matchIndex === null || matchIndex < view.commitIndex - CAUGHT_UP_ENTRIES || matchIndex === 0)
+  if (matchIndex === null || matchIndex < view.commitIndex - MAX_LEARNER_LAG_ENTRIES || matchIndex === 0)
     return null;
   return { voters: [...voters, newcomer], learners: learners.filter((id) => id !== newcomer) };
 }
 
-function withoutNamesakes(learners: readonly ReplicaId[], newcomer: ReplicaId): readonly ReplicaId[] {
+function withoutSameName(learners: readonly ReplicaId[], newcomer: ReplicaId): readonly ReplicaId[] {
   return learners.filter((id) => replicaName(id) !== replicaName(newcomer));
 }
--- a/src/consensus/raft-core.ts
+++ b/src/consensus/raft-core.ts
@@ -1,7 +1,7 @@
 /**
- * The replicated log as a deterministic state machine: `step(event, now)` changes the state and returns
- * effects. It reads no clock, socket, disk or random source; election jitter comes from a seed.
- * See `raft-types.ts` for the sources of the protocol.
+ * The Raft protocol as a deterministic state machine: `step(event, now)` changes the state and returns
+ * effects. It uses no clock, socket, disk or random source; election jitter is derived from a seed.
+ * See `raft-types.ts` for the references of the protocol.
  */
 import { policyIsOn } from '../policy-switches.js';
 import { ElectionTimer } from './election-timer.js';
@@ -28,17 +28,17 @@
 import { ReplicationProgress, type PeerProgress } from './replication-progress.js';
 
 /**
- * Part of the election timeout by which a tick must come late to count as a stall of this process. What the
- * others sent meanwhile still waits to be read, so the time of a stall does not count as their silence.
+ * Fraction of the election timeout without a tick that counts as a stall of this process. Messages that peers sent
+ * during the stall have not been read yet, so the duration of a stall does not count as time without messages.
  */
-const STALL_SHARE = 0.25;
+const STALL_THRESHOLD_RATIO = 0.25;
 
 interface PendingConfirmation {
   readonly requestId: number;
   readonly round: number;
 }
 
-/** One replica of the log. */
+/** The protocol state of one replica. */
 export class RaftCore {
   private readonly log: RaftLog;
   private readonly electionTimer: ElectionTimer;
@@ -52,10 +52,10 @@
   private round = 0;
   private heartbeatDueMs = 0;
   private quorumCheckDueMs = 0;
-  private leaderHeardMs = -Infinity;
-  /** When this replica last held all that its leader had committed by then, in ms. */
-  private heldAllMs = -Infinity;
-  /** Whether this replica has followed a leader, or has led, since it began. */
+  private leaderContactMs = -Infinity;
+  /** Time in ms at which this replica last held every entry that its leader had committed. */
+  private lastUpToDateMs = -Infinity;
+  /** Whether this replica has followed a leader, or has been the leader, since it started. */
   private hasKnownLeader = false;
   private termStartIndex = 0;
   private confirmations: PendingConfirmation[] = [];
@@ -79,12 +79,12 @@
     this.lastTickMs = nowMs;
   }
 
-  /** What this replica is doing. */
+  /** Current role of this replica. */
   get role(): RaftRole {
     return this.currentRole;
   }
 
-  /** The leader of the current term, when known. */
+  /** Leader of the current term, or null when it is unknown. */
   get leader(): ReplicaId | null {
     return this.currentLeader;
   }
@@ -94,62 +94,62 @@
     return this.currentTerm;
   }
 
-  /** Newest committed index known here. */
+  /** Highest index known to be committed. */
   get commitIndex(): number {
     return this.committed;
   }
 
-  /** Newest entry held here. */
+  /** Index of the last entry in the log. */
   get lastIndex(): number {
     return this.log.lastIndex;
   }
 
-  /** Membership in force here. */
+  /** Effective membership of this replica, committed or not. */
   get membership(): Membership {
     return this.log.membership().membership;
   }
 
-  /** When a leader was last heard, in ms of the core's clock; the leader hears itself. */
+  /** Time of the last message from the leader, in ms of the core's clock; on the leader itself the current time. */
   get leaderLastHeardMs(): number {
-    return this.currentRole === 'leader' ? this.nowMs : this.leaderHeardMs;
+    return this.currentRole === 'leader' ? this.nowMs : this.leaderContactMs;
   }
 
   /**
-   * When everything that was committed was last held here, in ms of the core's clock. A replica whose answers are lost
-   * may hear its leader and still miss entries for as long as that lasts; and until an entry of its own term is committed,
-   * a leader does not know what else is.
+   * Time at which this replica last held all committed entries, in ms of the core's clock. A replica whose answers are
+   * lost may receive heartbeats and still lack entries; and a leader does not know the commit index until an entry of
+   * its own term is committed.
    */
   get upToDateMs(): number {
-    return this.leaderReady ? this.nowMs : this.heldAllMs;
+    return this.leaderReady ? this.nowMs : this.lastUpToDateMs;
   }
 
-  /** As leader: whether an entry of its own term is committed, so that its state is current. */
+  /** Whether this replica is the leader and an entry of its own term is committed, so that its state is current. */
   get leaderReady(): boolean {
     return this.currentRole === 'leader' && this.committed >= this.termStartIndex;
   }
 
-  /** Index of the entry that began this replica's latest term as leader; 0 before the first. */
+  /** Index of the first entry of this replica's latest term as leader; 0 before its first term as leader. */
   get termStart(): number {
     return this.termStartIndex;
   }
 
-  /** Membership in force, or null while it is not committed yet. */
+  /** Returns the effective membership, or null while it is not committed. */
   committedMembership(): Membership | null {
     const { membership, index } = this.log.membership();
     return index <= this.committed ? membership : null;
   }
 
-  /** As leader: what is known of a peer. */
+  /** Returns the replication progress of a peer; undefined unless this replica is the leader. */
   peerProgress(id: ReplicaId): Readonly<PeerProgress> | undefined {
     return this.currentRole === 'leader' ? this.progress.get(id) : undefined;
   }
 
-  /** Term of an entry that is still held, or null. */
+  /** Returns the term of an entry, or null when the log does not contain it. */
   termAt(index: number): number | null {
     return this.log.termAt(index);
   }
 
-  /** Takes one event and returns what the driver must do, in order. */
+  /** Processes one event and returns the effects that the driver must carry out, in order. */
   step(event: RaftEvent, nowMs: number): RaftEffect[] {
     this.nowMs = nowMs;
     this.effects = [];
@@ -180,7 +180,7 @@
   }
 
   private tick(): void {
-    this.discountStall(this.nowMs - this.lastTickMs);
+    this.excludeStallTime(this.nowMs - this.lastTickMs);
     this.lastTickMs = this.nowMs;
     if (this.currentRole === 'leader') {
       this.tickLeader();
@@ -191,11 +191,11 @@
     if (this.membership.voters.includes(this.id)) this.startElection(true);
   }
 
-  private discountStall(sinceTickMs: number): void {
-    if (sinceTickMs < this.options.electionTimeoutMs * STALL_SHARE) return;
+  private excludeStallTime(sinceTickMs: number): void {
+    if (sinceTickMs < this.options.electionTimeoutMs * STALL_THRESHOLD_RATIO) return;
     this.electionTimer.postpone(sinceTickMs);
     this.quorumCheckDueMs += sinceTickMs;
-    this.leaderHeardMs += sinceTickMs;
+    this.leaderContactMs += sinceTickMs;
   }
 
   private tickLeader(): void {
@@ -204,7 +204,7 @@
     this.heartbeatDueMs = this.nowMs + this.options.heartbeatMs;
     this.round += 1;
     for (const [id, peer] of this.progress.entries()) this.sendAppend(id, peer, true);
-    this.releaseConfirmations();
+    this.resolveConfirmations();
   }
 
   private checkQuorum(): boolean {
@@ -218,29 +218,29 @@
   private receive(message: RaftMessage): void {
     if (message.to !== this.id) return;
     if (message.kind === 'vote-request' && message.preVote) {
-      this.answerPreVote(message);
+      this.handlePreVoteRequest(message);
       return;
     }
     if (message.kind === 'vote-answer' && message.preVote && message.granted) {
-      this.countVote(message);
+      this.handleVoteAnswer(message);
       return;
     }
     if (message.term > this.currentTerm) this.becomeFollower(message.term, null);
     switch (message.kind) {
       case 'vote-request':
-        this.answerVote(message);
+        this.handleVoteRequest(message);
         break;
       case 'vote-answer':
-        this.countVote(message);
+        this.handleVoteAnswer(message);
         break;
       case 'append-request':
-        this.answerAppend(message);
+        this.handleAppendRequest(message);
         break;
       case 'append-answer':
-        this.countAppend(message);
+        this.handleAppendAnswer(message);
         break;
       case 'snapshot-request':
-        this.answerSnapshot(message);
+        this.handleSnapshotRequest(message);
         break;
     }
   }
@@ -248,7 +248,8 @@
   // ---- elections
 
   private restartElectionTimer(nowMs: number): void {
-    if (!this.hasKnownLeader && policyIsOn('early-election')) this.electionTimer.restartEarly(nowMs);
+    if (!this.hasKnownLeader && policyIsOn('early-election'))
+      this.electionTimer.restartForFirstElection(nowMs);
     else this.electionTimer.restart(nowMs);
   }
 
@@ -262,8 +263,8 @@
       this.persistHardState();
       this.changeRole('candidate', null);
     }
-    if (this.votesSuffice()) {
-      this.wonElection();
+    if (this.hasVoteQuorum()) {
+      this.onElectionWon();
       return;
     }
     const term = preVote ? this.currentTerm + 1 : this.currentTerm;
@@ -274,26 +275,29 @@
     }
   }
 
-  private votesSuffice(): boolean {
+  private hasVoteQuorum(): boolean {
     return this.votes.size >= quorumSize(this.membership);
   }
 
-  private wonElection(): void {
+  private onElectionWon(): void {
     if (this.currentRole === 'pre-candidate') this.startElection(false);
     else this.becomeLeader();
   }
 
-  private answerPreVote(request: VoteRequest): void {
-    const leaderIsFresh = this.nowMs - this.leaderLastHeardMs < this.options.electionTimeoutMs;
-    const granted = request.term > this.currentTerm && !leaderIsFresh && this.isCurrent(request);
+  private handlePreVoteRequest(request: VoteRequest): void {
+    const hasRecentLeader = this.nowMs - this.leaderLastHeardMs < this.options.electionTimeoutMs;
+    const granted = request.term > this.currentTerm && !hasRecentLeader && this.isLogUpToDate(request);
     const term = granted ? request.term : this.currentTerm;
     this.send({ kind: 'vote-answer', from: this.id, to: request.from, term, preVote: true, granted });
   }
 
-  private answerVote(request: VoteRequest): void {
-    const free = this.votedFor === null || this.votedFor === request.from;
+  private handleVoteRequest(request: VoteRequest): void {
+    const canVote = this.votedFor === null || this.votedFor === request.from;
     const granted =
-      request.term === this.currentTerm && free && this.currentRole === 'follower' && this.isCurrent(request);
+      request.term === this.currentTerm &&
+      canVote &&
+      this.currentRole === 'follower' &&
+      this.isLogUpToDate(request);
     if (granted) {
       this.votedFor = request.from;
       this.persistHardState();
@@ -303,18 +307,18 @@
     this.send({ kind: 'vote-answer', from: this.id, to: request.from, term, preVote: false, granted });
   }
 
-  private isCurrent(request: VoteRequest): boolean {
+  private isLogUpToDate(request: VoteRequest): boolean {
     if (request.lastTerm !== this.log.lastTerm) return request.lastTerm > this.log.lastTerm;
     return request.lastIndex >= this.log.lastIndex;
   }
 
-  private countVote(answer: VoteAnswer): void {
-    const wanted = answer.preVote ? 'pre-candidate' : 'candidate';
-    if (this.currentRole !== wanted || !answer.granted) return;
+  private handleVoteAnswer(answer: VoteAnswer): void {
+    const expectedRole = answer.preVote ? 'pre-candidate' : 'candidate';
+    if (this.currentRole !== expectedRole || !answer.granted) return;
     const term = answer.preVote ? this.currentTerm + 1 : this.currentTerm;
     if (answer.term !== term || !this.membership.voters.includes(answer.from)) return;
     this.votes.add(answer.from);
-    if (this.votesSuffice()) this.wonElection();
+    if (this.hasVoteQuorum()) this.onElectionWon();
   }
 
   // ---- roles
@@ -338,7 +342,7 @@
     this.quorumCheckDueMs = this.nowMs + this.options.electionTimeoutMs;
     this.heartbeatDueMs = this.nowMs;
     this.changeRole('leader', this.id);
-    this.appendOwn({ kind: 'no-op' });
+    this.appendAsLeader({ kind: 'no-op' });
   }
 
   private changeRole(role: RaftRole, leader: ReplicaId | null): void {
@@ -348,25 +352,25 @@
     if (changed) this.effects.push({ kind: 'role-changed', role, term: this.currentTerm, leader });
   }
 
-  // ---- the leader's side of replication
+  // ---- replication on the leader
 
   private propose(proposalId: string, command: unknown): void {
     if (this.currentRole !== 'leader') {
       this.effects.push({ kind: 'proposal-dropped', proposalId, leader: this.currentLeader });
       return;
     }
-    this.appendOwn({ kind: 'command', proposalId, command });
+    this.appendAsLeader({ kind: 'command', proposalId, command });
   }
 
   private changeMembership(membership: Membership): void {
     if (!this.leaderReady) return;
-    const inForce = this.log.membership();
-    const previousIsCommitted = inForce.index <= this.committed;
-    if (!previousIsCommitted || !differsByOneVoter(inForce.membership, membership)) return;
-    this.appendOwn({ kind: 'membership', membership });
+    const effective = this.log.membership();
+    const previousIsCommitted = effective.index <= this.committed;
+    if (!previousIsCommitted || !differsByOneVoter(effective.membership, membership)) return;
+    this.appendAsLeader({ kind: 'membership', membership });
   }
 
-  private appendOwn(payload: EntryPayload): void {
+  private appendAsLeader(payload: EntryPayload): void {
     const entry: LogEntry = { index: this.log.lastIndex + 1, term: this.currentTerm, payload };
     this.log.append([entry]);
     this.effects.push({ kind: 'persist-entries', entries: [entry] });
@@ -374,7 +378,7 @@
     this.advanceCommit();
   }
 
-  /** Sends what was appended since the last flush: many proposals share one message to each peer. */
+  /** Sends the entries appended since the last flush, so that many proposals share one message to each peer. */
   private flush(): void {
     if (this.currentRole !== 'leader') return;
     for (const [id, peer] of this.progress.entries()) {
@@ -382,7 +386,7 @@
     }
   }
 
-  private sendAppend(to: ReplicaId, peer: PeerProgress, evenIfEmpty: boolean): void {
+  private sendAppend(to: ReplicaId, peer: PeerProgress, allowEmpty: boolean): void {
     const previousIndex = peer.nextIndex - 1;
     const previousTerm = this.log.termAt(previousIndex);
     if (previousTerm === null) {
@@ -390,7 +394,7 @@
       return;
     }
     const entries = this.log.slice(peer.nextIndex, this.options.maxEntriesPerAppend);
-    if (entries.length === 0 && !evenIfEmpty) return;
+    if (entries.length === 0 && !allowEmpty) return;
     peer.nextIndex += entries.length;
     this.send({
       kind: 'append-request',
@@ -407,24 +411,24 @@
 
   private sendSnapshot(to: ReplicaId, peer: PeerProgress): void {
     const resendAfterMs = this.options.electionTimeoutMs * 4;
-    const underWay = peer.snapshotSentMs !== null && this.nowMs - peer.snapshotSentMs < resendAfterMs;
-    if (underWay) return;
+    const isInFlight = peer.snapshotSentMs !== null && this.nowMs - peer.snapshotSentMs < resendAfterMs;
+    if (isInFlight) return;
     peer.snapshotSentMs = this.nowMs;
     this.effects.push({ kind: 'send-snapshot', to, term: this.currentTerm, round: this.round });
   }
 
-  private countAppend(answer: AppendAnswer): void {
+  private handleAppendAnswer(answer: AppendAnswer): void {
     if (this.currentRole !== 'leader' || answer.term !== this.currentTerm) return;
     const peer = this.progress.get(answer.from);
     if (peer === undefined) return;
     peer.lastAnswerMs = this.nowMs;
     peer.answeredRound = Math.max(peer.answeredRound, answer.round);
-    if (answer.success) this.peerAdvanced(answer.from, peer, answer.matchIndex);
-    else this.peerRefused(answer.from, peer, answer.matchIndex);
-    this.releaseConfirmations();
+    if (answer.success) this.onAppendAccepted(answer.from, peer, answer.matchIndex);
+    else this.onAppendRejected(answer.from, peer, answer.matchIndex);
+    this.resolveConfirmations();
   }
 
-  private peerAdvanced(id: ReplicaId, peer: PeerProgress, matchIndex: number): void {
+  private onAppendAccepted(id: ReplicaId, peer: PeerProgress, matchIndex: number): void {
     peer.snapshotSentMs = null;
     peer.matchIndex = Math.max(peer.matchIndex, matchIndex);
     peer.nextIndex = Math.max(peer.nextIndex, peer.matchIndex + 1);
@@ -432,7 +436,7 @@
     if (peer.nextIndex <= this.log.lastIndex) this.sendAppend(id, peer, false);
   }
 
-  private peerRefused(id: ReplicaId, peer: PeerProgress, hint: number): void {
+  private onAppendRejected(id: ReplicaId, peer: PeerProgress, hint: number): void {
     const next = Math.min(hint + 1, peer.nextIndex - 1);
     peer.nextIndex = Math.max(next, peer.matchIndex + 1, 1);
     this.sendAppend(id, peer, true);
@@ -440,8 +444,8 @@
 
   private advanceCommit(): void {
     const index = this.progress.quorumIndex(this.membership, this.log.lastIndex);
-    const ofOwnTerm = this.log.termAt(index) === this.currentTerm;
-    if (index > this.committed && ofOwnTerm) this.commitTo(index);
+    const isOfCurrentTerm = this.log.termAt(index) === this.currentTerm;
+    if (index > this.committed && isOfCurrentTerm) this.commitTo(index);
   }
 
   private commitTo(index: number): void {
@@ -450,14 +454,14 @@
     const entries = this.log.slice(this.committed + 1, target - this.committed);
     this.committed = target;
     this.effects.push({ kind: 'commit', entries });
-    this.leaveIfRemoved();
+    this.stepDownIfRemoved();
   }
 
-  /** A leader that is no longer a voter steps down once that is committed (Raft 4.2.2). */
-  private leaveIfRemoved(): void {
+  /** A leader that is no longer a voter steps down once its removal is committed (Raft 4.2.2). */
+  private stepDownIfRemoved(): void {
     if (this.currentRole !== 'leader') return;
-    const inForce = this.log.membership();
-    if (inForce.index > this.committed || inForce.membership.voters.includes(this.id)) return;
+    const effective = this.log.membership();
+    if (effective.index > this.committed || effective.membership.voters.includes(this.id)) return;
     this.becomeFollower(this.currentTerm, null);
   }
 
@@ -468,18 +472,18 @@
     this.confirmations.push({ requestId, round: this.round + 1 });
   }
 
-  private releaseConfirmations(): void {
+  private resolveConfirmations(): void {
     if (this.confirmations.length === 0) return;
     const confirmedRound = this.progress.quorumRound(this.membership, this.round);
-    const done = this.confirmations.filter((pending) => pending.round <= confirmedRound);
-    if (done.length === 0) return;
+    const confirmed = this.confirmations.filter((pending) => pending.round <= confirmedRound);
+    if (confirmed.length === 0) return;
     this.confirmations = this.confirmations.filter((pending) => pending.round > confirmedRound);
-    for (const { requestId } of done) this.effects.push({ kind: 'leadership-confirmed', requestId });
+    for (const { requestId } of confirmed) this.effects.push({ kind: 'leadership-confirmed', requestId });
   }
 
-  // ---- the follower's side of replication
+  // ---- replication on a follower
 
-  private answerAppend(request: AppendRequest): void {
+  private handleAppendRequest(request: AppendRequest): void {
     if (request.term < this.currentTerm) {
       this.answer(request, false, this.log.lastIndex);
       return;
@@ -489,16 +493,16 @@
       this.answer(request, false, Math.min(this.log.lastIndex, request.previousIndex - 1));
       return;
     }
-    this.takeEntries(request.entries);
+    this.appendFromLeader(request.entries);
     const matchIndex = request.previousIndex + request.entries.length;
     this.commitTo(Math.min(request.commitIndex, matchIndex));
     const leaderIsReady = this.log.termAt(request.commitIndex) === this.currentTerm;
-    if (leaderIsReady && this.committed >= request.commitIndex) this.heldAllMs = this.nowMs;
+    if (leaderIsReady && this.committed >= request.commitIndex) this.lastUpToDateMs = this.nowMs;
     this.answer(request, true, matchIndex);
   }
 
   private followLeader(leader: ReplicaId): void {
-    this.leaderHeardMs = this.nowMs;
+    this.leaderContactMs = this.nowMs;
     this.hasKnownLeader = true;
     this.restartElectionTimer(this.nowMs);
     this.changeRole('follower', leader);
@@ -509,31 +513,34 @@
     return this.log.termAt(index) === term;
   }
 
-  private takeEntries(entries: readonly LogEntry[]): void {
-    const firstNew = entries.findIndex((entry) => !this.holds(entry.index, entry.term));
-    if (firstNew < 0) return;
-    const fresh = entries.slice(firstNew);
-    const fromIndex = fresh[0]?.index ?? 0;
+  private appendFromLeader(entries: readonly LogEntry[]): void {
+    const firstNewPosition = entries.findIndex((entry) => !this.holds(entry.index, entry.term));
+    if (firstNewPosition < 0) return;
+    const newEntries = entries.slice(firstNewPosition);
+    const fromIndex = newEntries[0]?.index ?? 0;
     if (fromIndex <= this.log.lastIndex) {
       this.log.truncate(fromIndex);
       this.effects.push({ kind: 'truncate-log', fromIndex });
     }
-    this.log.append(fresh);
-    this.effects.push({ kind: 'persist-entries', entries: fresh });
+    this.log.append(newEntries);
+    this.effects.push({ kind: 'persist-entries', entries: newEntries });
   }
 
-  private answerSnapshot(request: SnapshotRequest): void {
+  private handleSnapshotRequest(request: SnapshotRequest): void {
     if (request.term < this.currentTerm) {
       this.answer(request, false, this.log.lastIndex);
       return;
     }
     this.followLeader(request.from);
-    if (request.position.index > this.committed) this.takeSnapshot(request.position, request.data);
+    if (request.position.index > this.committed) this.installSnapshot(request.position, request.data);
     this.answer(request, true, Math.max(request.position.index, this.committed));
   }
 
-  /** Entries after the snapshot may be counted in a quorum already, so they stay if the log agrees (Raft 5.1). */
-  private takeSnapshot(position: SnapshotPosition, data: unknown): void {
+  /**
+   * Keeps the entries after the snapshot if the log agrees with it, since they may already be counted in a quorum
+   * (Raft 5.1).
+   */
+  private installSnapshot(position: SnapshotPosition, data: unknown): void {
     if (this.log.termAt(position.index) === position.term) this.log.compact(position);
     else this.log.reset(position);
     this.committed = position.index;
@@ -563,7 +570,7 @@
   }
 }
 
-/** Whether two memberships have voter sets that differ by at most one replica, so that quorums overlap. */
+/** Returns whether the voter sets of two memberships differ by at most one replica, so that their quorums overlap. */
 export function differsByOneVoter(before: Membership, after: Membership): boolean {
   const added = after.voters.filter((id) => !before.voters.includes(id));
   const removed = before.voters.filter((id) => !after.voters.includes(id));
--- a/src/consensus/raft-frames.ts
+++ b/src/consensus/raft-frames.ts
@@ -1,28 +1,28 @@
-/** Frames of messages between replicas: entries that several replicas are sent alike are written once. */
+/** Encodes messages between replicas; entries sent to several replicas are serialized only once. */
 import { isJsonText, writeText } from '../model/value-text.js';
 import { encodeFrame, frameOfText } from '../transport/frame-codec.js';
 import type { AppendRequest, LogEntry, RaftMessage } from './raft-types.js';
 
-/** Writes the messages of one replica. */
+/** Encoder for the messages of one replica. */
 export class RaftFrames {
   private lastEntries: readonly LogEntry[] = [];
-  /** JSON of the entries of the last append; null where JSON cannot hold them. */
+  /** JSON of the entries of the last append; null when JSON cannot represent them. */
   private lastText: string | null = '[]';
 
-  /** The frame of one message. */
+  /** Encodes one message as a frame. */
   encode(message: RaftMessage): Buffer {
     return message.kind === 'append-request' ? this.encodeAppend(message) : encodeFrame(message);
   }
 
   private encodeAppend(message: AppendRequest): Buffer {
     const { entries, ...head } = message;
-    const text = this.textOf(entries);
+    const text = this.encodeEntries(entries);
     if (text === null) return encodeFrame(message);
     return frameOfText(`${JSON.stringify(head).slice(0, -1)},"entries":${text}}`);
   }
 
-  private textOf(entries: readonly LogEntry[]): string | null {
-    if (areSame(entries, this.lastEntries)) return this.lastText;
+  private encodeEntries(entries: readonly LogEntry[]): string | null {
+    if (areSameEntries(entries, this.lastEntries)) return this.lastText;
     const texts = entries.map(writeText);
     this.lastText = texts.every(isJsonText) ? `[${texts.join(',')}]` : null;
     this.lastEntries = entries;
@@ -30,6 +30,6 @@
   }
 }
 
-function areSame(left: readonly LogEntry[], right: readonly LogEntry[]): boolean {
+function areSameEntries(left: readonly LogEntry[], right: readonly LogEntry[]): boolean {
   return left.length === right.length && left.every((entry, at) => entry === right[at]);
 }
--- a/src/consensus/raft-log.ts
+++ b/src/consensus/raft-log.ts
@@ -1,7 +1,7 @@
-/** The part of the replicated log that is held in memory: all entries after the last snapshot. */
+/** The part of the replicated log that is kept in memory: all entries after the last snapshot. */
 import type { LogEntry, Membership, SnapshotPosition } from './raft-types.js';
 
-/** In-memory view of the log. Indexes up to `snapshot.index` are gone. */
+/** In-memory view of the log. Entries up to `snapshot.index` have been discarded. */
 export class RaftLog {
   private entries: LogEntry[];
 
@@ -12,44 +12,44 @@
     this.entries = [...entries];
   }
 
-  /** Where the log starts. */
+  /** Position of the snapshot that precedes the first entry. */
   get snapshot(): SnapshotPosition {
     return this.position;
   }
 
-  /** Index of the newest entry. */
+  /** Index of the last entry. */
   get lastIndex(): number {
     return this.position.index + this.entries.length;
   }
 
-  /** Term of the newest entry. */
+  /** Term of the last entry. */
   get lastTerm(): number {
     return this.entries.at(-1)?.term ?? this.position.term;
   }
 
-  /** Term of the entry at `index`, or null when it is not held. */
+  /** Returns the term of the entry at `index`, or null when the log does not contain it. */
   termAt(index: number): number | null {
     if (index === this.position.index) return this.position.term;
     return this.entryAt(index)?.term ?? null;
   }
 
-  /** Up to `limit` entries from `fromIndex` on. */
+  /** Returns up to `limit` entries starting at `fromIndex`. */
   slice(fromIndex: number, limit: number): readonly LogEntry[] {
     const start = fromIndex - this.position.index - 1;
     return this.entries.slice(start, start + limit);
   }
 
-  /** Adds entries at the end. */
+  /** Appends entries. */
   append(entries: readonly LogEntry[]): void {
     this.entries.push(...entries);
   }
 
-  /** Forgets `fromIndex` and everything after it. */
+  /** Removes the entry at `fromIndex` and all later entries. */
   truncate(fromIndex: number): void {
     this.entries.length = Math.max(0, fromIndex - this.position.index - 1);
   }
 
-  /** Forgets everything up to a snapshot's position; keeps the entries after it. */
+  /** Discards all entries up to a snapshot's position and keeps the later ones. */
   compact(position: SnapshotPosition): void {
     if (position.index <= this.position.index) return;
     this.entries = this.entries.slice(position.index - this.position.index);
@@ -62,7 +62,7 @@
     this.position = position;
   }
 
-  /** Membership in force: the newest in the log, committed or not (Raft 4.1), else the snapshot's. */
+  /** Returns the effective membership: the latest in the log, committed or not (Raft 4.1), else the snapshot's. */
   membership(): { readonly membership: Membership; readonly index: number } {
     for (let at = this.entries.length - 1; at >= 0; at -= 1) {
       const entry = this.entries[at];
--- a/src/consensus/raft-types.ts
+++ b/src/consensus/raft-types.ts
@@ -1,13 +1,13 @@
 /**
- * Data of the replicated log: entries, messages, effects and options.
+ * Types of the consensus core: log entries, messages, effects, events and options.
  * The protocol is Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014) with pre-vote (9.6),
  * check-quorum (6.2), read-index (6.4), learners and single-server membership change (4.1 to 4.3).
  */
 
-/** Name of a replica and the identity of its data folder, as `name/identity`. */
+/** Replica name and identity of its data folder, as `name/identity`. */
 export type ReplicaId = string;
 
-/** Who takes part in the replicated log. */
+/** Members of the cluster. */
 export interface Membership {
   /** Replicas that vote and count towards a quorum. */
   readonly voters: readonly ReplicaId[];
@@ -15,7 +15,7 @@
   readonly learners: readonly ReplicaId[];
 }
 
-/** What a log entry carries. */
+/** Payload of a log entry. */
 export type EntryPayload =
   | { readonly kind: 'no-op' }
   | { readonly kind: 'command'; readonly proposalId: string; readonly command: unknown }
@@ -28,20 +28,20 @@
   readonly payload: EntryPayload;
 }
 
-/** What must survive a restart beside the entries. */
+/** State besides the log that must survive a restart. */
 export interface HardState {
   readonly term: number;
   readonly votedFor: ReplicaId | null;
 }
 
-/** Position of the last entry that a snapshot replaces, and the membership there. */
+/** Position of the last entry contained in a snapshot, and the membership at that position. */
 export interface SnapshotPosition {
   readonly index: number;
   readonly term: number;
   readonly membership: Membership;
 }
 
-/** Everything that a replica reads from its disk when it starts. */
+/** State that a replica loads from disk when it starts. */
 export interface DurableState {
   readonly hardState: HardState;
   readonly snapshot: SnapshotPosition;
@@ -54,7 +54,7 @@
   readonly term: number;
 }
 
-/** Asks for a vote; with `preVote` only whether a vote would be given. */
+/** Requests a vote; with `preVote` it only asks whether the vote would be granted. */
 export interface VoteRequest extends MessageBase {
   readonly kind: 'vote-request';
   readonly preVote: boolean;
@@ -62,14 +62,14 @@
   readonly lastTerm: number;
 }
 
-/** Answers a vote request. `term` is the term asked for when granted, the voter's own otherwise. */
+/** Answer to a vote request. `term` is the requested term when the vote is granted, the voter's own term otherwise. */
 export interface VoteAnswer extends MessageBase {
   readonly kind: 'vote-answer';
   readonly preVote: boolean;
   readonly granted: boolean;
 }
 
-/** Heartbeat and replication. `round` numbers the leader's heartbeats for read-index. */
+/** Heartbeat and log replication. `round` numbers the leader's heartbeats for read-index. */
 export interface AppendRequest extends MessageBase {
   readonly kind: 'append-request';
   readonly previousIndex: number;
@@ -79,7 +79,10 @@
   readonly round: number;
 }
 
-/** Answers an append. `matchIndex` is durable at the sender; on failure it is a hint where to go on. */
+/**
+ * Answer to an append request. On success `matchIndex` is the last index known to be durable at the sender; on failure
+ * it is a hint for the leader's next index.
+ */
 export interface AppendAnswer extends MessageBase {
   readonly kind: 'append-answer';
   readonly success: boolean;
@@ -98,7 +101,7 @@
 /** Messages between replicas. */
 export type RaftMessage = VoteRequest | VoteAnswer | AppendRequest | AppendAnswer | SnapshotRequest;
 
-/** What the driver must do, in this order: persist and sync first, then everything else. */
+/** Effects that the driver must carry out, in order: persist and sync first, then all others. */
 export type RaftEffect =
   | { readonly kind: 'persist-hard-state'; readonly hardState: HardState }
   | { readonly kind: 'persist-entries'; readonly entries: readonly LogEntry[] }
@@ -116,10 +119,10 @@
   | { readonly kind: 'leadership-confirmed'; readonly requestId: number }
   | { readonly kind: 'proposal-dropped'; readonly proposalId: string; readonly leader: ReplicaId | null };
 
-/** What a replica is doing at present. */
+/** Role of a replica. */
 export type RaftRole = 'follower' | 'pre-candidate' | 'candidate' | 'leader';
 
-/** What happens to a replica. */
+/** Input events of a replica. */
 export type RaftEvent =
   | { readonly kind: 'tick' }
   | { readonly kind: 'message'; readonly message: RaftMessage }
@@ -127,22 +130,22 @@
   | { readonly kind: 'change-membership'; readonly membership: Membership }
   | { readonly kind: 'confirm-leadership'; readonly requestId: number }
   | { readonly kind: 'compacted'; readonly position: SnapshotPosition }
-  /** The end of a batch of events: what was appended in it is sent. */
+  /** End of a batch of events: entries appended in the batch are sent. */
   | { readonly kind: 'flush' };
 
-/** Timing of the protocol, all in ms, and limits. */
+/** Timing of the protocol, in ms, and its limits. */
 export interface RaftOptions {
-  /** Pause between two heartbeats of a leader. */
+  /** Interval between two heartbeats of a leader. */
   readonly heartbeatMs: number;
-  /** Shortest time without a leader after which a replica stands for election; the longest is twice this. */
+  /** Minimum time without a leader after which a replica starts an election; the maximum is twice this. */
   readonly electionTimeoutMs: number;
-  /** Most entries in one append. */
+  /** Maximum number of entries in one append request. */
   readonly maxEntriesPerAppend: number;
   /** Seed of the election jitter. */
   readonly seed: number;
 }
 
-/** Timing that suits machines within a few ms of each other. */
+/** Default options for machines with a network latency of a few ms between them. */
 export const DEFAULT_RAFT_OPTIONS: RaftOptions = {
   heartbeatMs: 100,
   electionTimeoutMs: 400,
@@ -150,12 +153,12 @@
   seed: 1,
 };
 
-/** How many of `voters` make a quorum. */
+/** Returns the number of voters that form a quorum. */
 export function quorumSize(membership: Membership): number {
   return Math.floor(membership.voters.length / 2) + 1;
 }
 
-/** Name part of a replica id. */
+/** Returns the name part of a replica id. */
 export function replicaName(id: ReplicaId): string {
   return id.slice(0, id.lastIndexOf('/'));
 }
--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -1,12 +1,12 @@
 /**
- * Driver of the consensus core: feeds it events, makes its effects durable, sends its messages and
- * applies what is committed. Events that arrive during a disk sync wait and share the next one.
+ * Driver of the consensus core: passes events to it, makes its effects durable, sends its messages and
+ * applies committed entries. Events that arrive during a disk sync are queued and share the next sync.
  */
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
 import type { ReplicaStore } from '../storage/replica-store.js';
 import { EntryApplier } from './entry-applier.js';
 import { diskSteps, type DiskStep } from './disk-steps.js';
-import { whenDiskHasRoom } from './full-disk.js';
+import { retryWhileDiskFull } from './full-disk.js';
 import { RaftCore } from './raft-core.js';
 import type {
   LogEntry,
@@ -19,33 +19,33 @@
   SnapshotPosition,
 } from './raft-types.js';
 
-const TICK_MS = 20;
+const TICK_INTERVAL_MS = 20;
 
-/** The replicated state. */
+/** The replicated state machine. */
 export interface StateMachine {
-  /** Applies one committed entry; called once for each, in order. */
+  /** Applies one committed entry; called once per entry, in log order. */
   apply(entry: LogEntry): void;
-  /** Content for a snapshot at the last applied entry. */
+  /** Returns the state as of the last applied entry, for a snapshot. */
   snapshot(): unknown;
-  /** Replaces the state by the content of a snapshot at `index`; null stands for the empty state. */
+  /** Replaces the state by the content of a snapshot at `index`; null is the empty state. */
   restore(data: unknown, index: number): void;
 }
 
-/** Where a replica's effects on others go. */
+/** Outgoing messages and callbacks of a replica. */
 export interface ReplicaPorts {
   send(message: RaftMessage): void;
   onRoleChanged(role: RaftRole, term: number, leader: ReplicaId | null): void;
   onLeadershipConfirmed(requestId: number): void;
   onProposalDropped(proposalId: string): void;
-  /** Proposals that were taken at a time, in ms, are durable on this replica's disk. */
-  onProposalsSynced?(proposalIds: readonly string[], takenMs: number): void;
-  /** The disk failed; the process must stop, since it can promise nothing any more. */
+  /** Called when proposals that were dequeued at `dequeuedMs` are durable on this replica's disk. */
+  onProposalsSynced?(proposalIds: readonly string[], dequeuedMs: number): void;
+  /** Called when the disk failed; the process must exit, since it can no longer guarantee durability. */
   onFatal(error: unknown): void;
 }
 
 /** Options of the driver. */
 export interface ReplicaOptions extends RaftOptions {
-  /** Applied entries after which a snapshot replaces the log. */
+  /** Number of applied entries after which a snapshot replaces the log. */
   readonly snapshotEveryEntries: number;
 }
 
@@ -77,8 +77,8 @@
   private readonly queue: RaftEvent[] = [];
   private readonly cancelTick: CancelTimer;
   private running: Promise<void> | null = null;
-  /** Since when the disk has held up the present batch; null while none is under way. */
-  private batchSinceMs: number | null = null;
+  /** Start time of the batch that is being processed; null when there is none. */
+  private batchStartMs: number | null = null;
   private stopped = false;
   private readonly applier: EntryApplier;
   private compaction: Compaction | null = null;
@@ -97,40 +97,40 @@
     this.applier = new EntryApplier(runtime, stateMachine, appliedIndex, (error) => {
       this.fail(error);
     });
-    this.cancelTick = runtime.every(TICK_MS, () => {
+    this.cancelTick = runtime.every(TICK_INTERVAL_MS, () => {
       this.submit({ kind: 'tick' });
     });
   }
 
-  /** Index of the newest entry that the state machine has taken. */
+  /** Index of the last entry applied to the state machine. */
   get applied(): number {
     return this.applier.appliedIndex;
   }
 
   /**
-   * Whether this replica leads, its state holds everything that was committed in earlier terms, and its disk lets it commit.
-   * One whose disk stalls sends nothing, so the others elect another leader; judged by its role alone it held each
-   * operator's call for 5 s, with a bound of 4 s.
+   * Whether this replica is the leader, its state contains every entry committed in earlier terms, and its disk does not
+   * stall. A leader whose disk stalls sends no messages, so its peers elect another leader; when only the role was
+   * checked, such a leader delayed every operator call for 5 s, although the limit is 4 s.
    */
   get leading(): boolean {
-    if (this.heldUpMs >= this.options.electionTimeoutMs) return false;
+    if (this.diskDelayMs >= this.options.electionTimeoutMs) return false;
     return this.core.leaderReady && this.applier.appliedIndex >= this.core.termStart;
   }
 
-  /** Time in ms for which the disk has held up the present batch of events; 0 while none is under way. */
-  private get heldUpMs(): number {
-    return this.batchSinceMs === null ? 0 : this.runtime.nowMs() - this.batchSinceMs;
+  /** Time in ms for which the disk has delayed the current batch of events; 0 when there is none. */
+  private get diskDelayMs(): number {
+    return this.batchStartMs === null ? 0 : this.runtime.nowMs() - this.batchStartMs;
   }
 
   /** Queues an event for the core. */
   submit(event: RaftEvent): void {
-    // While the disk holds the driver up, ticks add nothing to the one that waits.
+    // While a disk write delays the queue, one pending tick is enough.
     if (this.stopped || (event.kind === 'tick' && this.queue.at(-1)?.kind === 'tick')) return;
     this.queue.push(event);
     this.running ??= this.run();
   }
 
-  /** Stops taking events, waits for those under way and closes the storage. */
+  /** Stops accepting events, waits for the batch in progress and closes the storage. */
   async stop(): Promise<void> {
     this.stopped = true;
     this.cancelTick();
@@ -142,13 +142,13 @@
   private async run(): Promise<void> {
     try {
       while (this.queue.length > 0) {
-        const takenMs = this.runtime.nowMs();
-        this.batchSinceMs = takenMs;
+        const dequeuedMs = this.runtime.nowMs();
+        this.batchStartMs = dequeuedMs;
         const events = this.queue.splice(0);
         events.push({ kind: 'flush' });
         const effects = events.flatMap((event) => this.core.step(event, this.runtime.nowMs()));
         await this.persist(effects);
-        this.tellSynced(events, takenMs);
+        this.notifyProposalsSynced(events, dequeuedMs);
         for (const effect of effects) this.perform(effect);
         await this.compactIfDue();
       }
@@ -156,13 +156,13 @@
       this.fail(error);
     } finally {
       this.running = null;
-      this.batchSinceMs = null;
+      this.batchStartMs = null;
     }
   }
 
-  private tellSynced(events: readonly RaftEvent[], takenMs: number): void {
+  private notifyProposalsSynced(events: readonly RaftEvent[], dequeuedMs: number): void {
     const proposals = events.flatMap((event) => (event.kind === 'propose' ? [event.proposalId] : []));
-    if (proposals.length > 0) this.ports.onProposalsSynced?.(proposals, takenMs);
+    if (proposals.length > 0) this.ports.onProposalsSynced?.(proposals, dequeuedMs);
   }
 
   private fail(error: unknown): void {
@@ -170,12 +170,12 @@
     this.ports.onFatal(error);
   }
 
-  /** Makes everything durable that the other effects of the same batch rely on. */
+  /** Makes durable the state that the other effects of the batch depend on. */
   private async persist(effects: readonly RaftEffect[]): Promise<void> {
-    for (const step of diskSteps(effects)) await this.takeDiskStep(step);
+    for (const step of diskSteps(effects)) await this.runDiskStep(step);
   }
 
-  private async takeDiskStep(step: DiskStep): Promise<void> {
+  private async runDiskStep(step: DiskStep): Promise<void> {
     switch (step.kind) {
       case 'persist-hard-state':
         await this.write(async () => {
@@ -209,7 +209,7 @@
   }
 
   private async write(write: () => Promise<void>): Promise<void> {
-    await whenDiskHasRoom(this.runtime, write);
+    await retryWhileDiskFull(this.runtime, write);
   }
 
   private perform(effect: RaftEffect): void {
@@ -243,7 +243,7 @@
     this.ports.send({ kind: 'snapshot-request', from: this.id, to, term, position, data, round });
   }
 
-  /** Starts a snapshot when one is due, and takes it over when it is written. */
+  /** Starts a snapshot when one is due, and adopts it once it is written. */
   private async compactIfDue(): Promise<void> {
     const { compaction } = this;
     if (compaction === null) {
@@ -261,7 +261,7 @@
     this.core.step({ kind: 'compacted', position }, this.runtime.nowMs());
   }
 
-  /** The file is written beside everything else: it takes longer than an election timeout when it is large. */
+  /** Writes the snapshot file concurrently with other work, since a large file takes longer than an election timeout. */
   private startCompaction(): void {
     if (this.applier.appliedIndex < this.core.commitIndex) return;
     const { index } = this.storage.currentSnapshot().position;
@@ -284,7 +284,7 @@
     );
   }
 
-  /** Position of the last applied entry, unless a membership change after the last snapshot is uncommitted. */
+  /** Returns the position of the last applied entry, or null while the effective membership is not committed. */
   private appliedPosition(): SnapshotPosition | null {
     const term = this.core.termAt(this.applier.appliedIndex);
     const membership = this.core.committedMembership();
--- a/src/consensus/replication-progress.ts
+++ b/src/consensus/replication-progress.ts
@@ -1,59 +1,59 @@
-/** What a leader knows of the other replicas: how far each has the log, and who answered lately. */
+/** Replication progress that a leader tracks for its peers: match index, next index and time of the last answer. */
 import { quorumSize, type Membership, type ReplicaId } from './raft-types.js';
 
-/** State of one follower or learner as its leader sees it. */
+/** Progress of one follower or learner as seen by the leader. */
 export interface PeerProgress {
-  /** Newest entry known to be durable there. */
+  /** Index of the last entry known to be durable at the peer. */
   matchIndex: number;
-  /** Next entry to send. */
+  /** Index of the next entry to send. */
   nextIndex: number;
-  /** Newest heartbeat round that it answered. */
+  /** Latest heartbeat round that the peer answered. */
   answeredRound: number;
-  /** When it last answered, in ms of the core's clock. */
+  /** Time of the peer's last answer, in ms of the core's clock. */
   lastAnswerMs: number;
-  /** When a snapshot was last sent, in ms of the core's clock; null when none is under way. */
+  /** Time at which a snapshot was last sent, in ms of the core's clock; null when none is in flight. */
   snapshotSentMs: number | null;
 }
 
-/** A leader's records of all its peers. */
+/** Progress of all peers of a leader. */
 export class ReplicationProgress {
   private readonly peers = new Map<ReplicaId, PeerProgress>();
 
   constructor(private readonly self: ReplicaId) {}
 
-  /** Makes the records match the membership: adds newcomers, forgets those removed. */
+  /** Matches the tracked peers to the membership: adds new members, removes those that left. */
   update(membership: Membership, lastIndex: number, nowMs: number): void {
-    const present = new Set([...membership.voters, ...membership.learners]);
+    const memberIds = new Set([...membership.voters, ...membership.learners]);
     for (const id of this.peers.keys()) {
-      if (!present.has(id)) this.peers.delete(id);
+      if (!memberIds.has(id)) this.peers.delete(id);
     }
-    for (const id of present) {
+    for (const id of memberIds) {
       if (id === this.self || this.peers.has(id)) continue;
       this.peers.set(id, newPeerProgress(lastIndex, nowMs));
     }
   }
 
-  /** Record of one peer, if it is a member. */
+  /** Returns the progress of one peer, or undefined when it is not a member. */
   get(id: ReplicaId): PeerProgress | undefined {
     return this.peers.get(id);
   }
 
-  /** All peers. */
+  /** Returns the progress of all peers. */
   entries(): IterableIterator<[ReplicaId, PeerProgress]> {
     return this.peers.entries();
   }
 
-  /** Newest index that a quorum of voters holds durably. */
+  /** Returns the highest index that is durable at a quorum of voters. */
   quorumIndex(membership: Membership, ownIndex: number): number {
     return this.quorumValue(membership, ownIndex, (peer) => peer.matchIndex);
   }
 
-  /** Newest heartbeat round that a quorum of voters answered. */
+  /** Returns the latest heartbeat round that a quorum of voters answered. */
   quorumRound(membership: Membership, ownRound: number): number {
     return this.quorumValue(membership, ownRound, (peer) => peer.answeredRound);
   }
 
-  /** Whether a quorum of voters, self included, answered since `sinceMs`. */
+  /** Returns whether a quorum of voters, including this replica, has answered since `sinceMs`. */
   quorumActiveSince(membership: Membership, sinceMs: number): boolean {
     const active = membership.voters.filter(
       (id) => id === this.self || (this.peers.get(id)?.lastAnswerMs ?? -Infinity) >= sinceMs,
--- a/src/storage/durable-file.ts
+++ b/src/storage/durable-file.ts
@@ -1,42 +1,42 @@
-/** Small files that are replaced as a whole: written beside, synced, renamed, folder synced. */
+/** Atomic replacement of small files: write a temporary file, sync it, rename it and sync the folder. */
 import { closeSync, fsyncSync, openSync, renameSync, writeSync } from 'node:fs';
 import { mkdir, open, readFile, rename } from 'node:fs/promises';
 import { dirname } from 'node:path';
 import { Err, Ok, type Result } from '../result.js';
 import { encodeRecord, scanRecords, type CorruptionError } from './record-file.js';
 
-/** Replaces `file` by one record with `value`; durable once this returns. */
+/** Replaces the content of `file` by one record with `value`; durable once the promise resolves. */
 export async function replaceFile(file: string, value: unknown): Promise<void> {
-  const temporary = `${file}.new`;
-  const handle = await open(temporary, 'w');
+  const temporaryPath = `${file}.new`;
+  const handle = await open(temporaryPath, 'w');
   try {
     await handle.writeFile(encodeRecord(value));
     await handle.sync();
   } finally {
     await handle.close();
   }
-  await rename(temporary, file);
+  await rename(temporaryPath, file);
   await syncFolder(dirname(file));
 }
 
 /**
- * The same in one turn. For a few bytes this takes some milliseconds; as eight asynchronous calls it takes some
- * hundred on a busy machine, and elections wait for it.
+ * Synchronous variant of `replaceFile`. For a few bytes it takes some milliseconds; the eight asynchronous calls take
+ * some hundred on a busy machine, and elections wait for them.
  */
-export function replaceFileNow(file: string, value: unknown): void {
-  const temporary = `${file}.new`;
-  const descriptor = openSync(temporary, 'w');
+export function replaceFileSync(file: string, value: unknown): void {
+  const temporaryPath = `${file}.new`;
+  const descriptor = openSync(temporaryPath, 'w');
   try {
     writeSync(descriptor, encodeRecord(value));
     fsyncSync(descriptor);
   } finally {
     closeSync(descriptor);
   }
-  renameSync(temporary, file);
-  syncFolderNow(dirname(file));
+  renameSync(temporaryPath, file);
+  syncFolderSync(dirname(file));
 }
 
-function syncFolderNow(folder: string): void {
+function syncFolderSync(folder: string): void {
   const descriptor = openSync(folder, 'r');
   try {
     fsyncSync(descriptor);
@@ -45,19 +45,19 @@
   }
 }
 
-/** Reads a file written by `replaceFile`; null when there is none. Torn or flipped content is an error. */
-export async function readWholeFile(file: string): Promise<Result<unknown, CorruptionError>> {
+/** Reads a file written by `replaceFile`; null when it does not exist. Torn or corrupt content is an error. */
+export async function readSingleRecord(file: string): Promise<Result<unknown, CorruptionError>> {
   const bytes = await readIfPresent(file);
   if (bytes === null) return Ok(null);
   const scan = scanRecords(file, bytes);
   if (scan.err) return scan;
-  const whole = scan.val.values.length === 1 && scan.val.wholeBytes === bytes.length;
-  if (!whole)
+  const isSingleRecord = scan.val.values.length === 1 && scan.val.validBytes === bytes.length;
+  if (!isSingleRecord)
     return Err({ kind: 'corrupt-file', file, offset: 0, detail: 'the file is not one whole record' });
   return Ok(scan.val.values[0]);
 }
 
-/** Content of a file, or null when it does not exist. */
+/** Returns the content of a file, or null when it does not exist. */
 export async function readIfPresent(file: string): Promise<Buffer | null> {
   try {
     return await readFile(file);
@@ -67,7 +67,7 @@
   }
 }
 
-/** Makes the names in a folder durable. */
+/** Makes the directory entries of a folder durable. */
 export async function syncFolder(folder: string): Promise<void> {
   const handle = await open(folder, 'r');
   try {
@@ -77,7 +77,7 @@
   }
 }
 
-/** Creates a folder and makes its name durable. */
+/** Creates a folder and makes its directory entry durable. */
 export async function createFolder(folder: string): Promise<void> {
   await mkdir(folder, { recursive: true });
   await syncFolder(dirname(folder));
--- a/src/storage/log-file.ts
+++ b/src/storage/log-file.ts
@@ -1,4 +1,4 @@
-/** The replicated log on disk: one file of checked records, appended and synced; rewritten on compaction. */
+/** The replicated log on disk: one file of checksummed records that is appended to, and rewritten on compaction. */
 import { open, rename, type FileHandle } from 'node:fs/promises';
 import { dirname } from 'node:path';
 import type { LogEntry } from '../consensus/raft-types.js';
@@ -16,7 +16,7 @@
     private firstIndex: number,
   ) {}
 
-  /** Opens the file, creating it when absent; returns it and the entries it holds. */
+  /** Opens the file, creating it when absent; returns it with its entries. */
   static async open(
     path: string,
   ): Promise<Result<{ file: LogFile; entries: readonly LogEntry[] }, CorruptionError>> {
@@ -24,14 +24,14 @@
     const scan = scanRecords(path, bytes);
     if (scan.err) return scan;
     const handle = await open(path, bytes.length === 0 ? 'w+' : 'r+');
-    if (scan.val.wholeBytes < bytes.length) {
-      await handle.truncate(scan.val.wholeBytes);
+    if (scan.val.validBytes < bytes.length) {
+      await handle.truncate(scan.val.validBytes);
     }
     await handle.sync();
     await syncFolder(dirname(path));
     const entries = scan.val.values as LogEntry[];
     const firstIndex = entries[0]?.index ?? 0;
-    const file = new LogFile(path, handle, scan.val.wholeBytes, [...scan.val.offsets], firstIndex);
+    const file = new LogFile(path, handle, scan.val.validBytes, [...scan.val.offsets], firstIndex);
     return Ok({ file, entries });
   }
 
@@ -40,13 +40,13 @@
     return this.endOffset;
   }
 
-  /** Writes entries at the end without syncing. */
+  /** Appends entries without syncing. */
   async append(entries: readonly LogEntry[]): Promise<void> {
     const first = entries[0];
     if (first === undefined) return;
     const records = entries.map((entry) => encodeRecord(entry));
-    await writeWhole(this.handle, Buffer.concat(records), this.endOffset);
-    // Only what was written counts, so that a write that failed can be repeated in the same place.
+    await writeFully(this.handle, Buffer.concat(records), this.endOffset);
+    // Offsets advance only after a complete write, so that a failed append is retried at the same offset.
     if (this.offsets.length === 0) this.firstIndex = first.index;
     for (const record of records) {
       this.offsets.push(this.endOffset);
@@ -54,30 +54,30 @@
     }
   }
 
-  /** Forgets `fromIndex` and everything after it, without syncing. */
+  /** Removes the entry at `fromIndex` and all later entries, without syncing. */
   async truncate(fromIndex: number): Promise<void> {
-    const at = fromIndex - this.firstIndex;
-    const offset = this.offsets[at];
+    const position = fromIndex - this.firstIndex;
+    const offset = this.offsets[position];
     if (offset === undefined) return;
-    this.offsets.length = at;
+    this.offsets.length = position;
     this.endOffset = offset;
     await this.handle.truncate(offset);
   }
 
-  /** Makes everything written so far durable. */
+  /** Makes all writes so far durable. */
   async sync(): Promise<void> {
     await this.handle.datasync();
   }
 
-  /** Replaces the whole content by `entries`, durably. */
+  /** Durably replaces the whole content by `entries`. */
   async rewrite(entries: readonly LogEntry[]): Promise<void> {
-    const temporary = `${this.path}.new`;
-    const handle = await open(temporary, 'w+');
-    const written = new LogFile(temporary, handle, 0, [], 0);
+    const temporaryPath = `${this.path}.new`;
+    const handle = await open(temporaryPath, 'w+');
+    const written = new LogFile(temporaryPath, handle, 0, [], 0);
     try {
       await written.append(entries);
       await handle.sync();
-      await rename(temporary, this.path);
+      await rename(temporaryPath, this.path);
     } catch (error) {
       await handle.close();
       throw error;
@@ -97,12 +97,17 @@
   }
 }
 
-/** A disk that is nearly full takes a part of a write. */
-async function writeWhole(handle: FileHandle, bytes: Buffer, start: number): Promise<void> {
-  let done = 0;
-  while (done < bytes.length) {
-    const { bytesWritten } = await handle.write(bytes, done, bytes.length - done, start + done);
-    if (bytesWritten === 0) throw new Error('the disk takes no bytes');
-    done += bytesWritten;
+/** Repeats partial writes, as they happen on a nearly full disk, until all bytes are written. */
+async function writeFully(handle: FileHandle, bytes: Buffer, start: number): Promise<void> {
+  let writtenBytes = 0;
+  while (writtenBytes < bytes.length) {
+    const { bytesWritten } = await handle.write(
+      bytes,
+      writtenBytes,
+      bytes.length - writtenBytes,
+      start + writtenBytes,
+    );
+    if (bytesWritten === 0) throw new Error('the disk accepted no bytes of a write');
+    writtenBytes += bytesWritten;
   }
 }
--- a/src/storage/replica-storage.ts
+++ b/src/storage/replica-storage.ts
@@ -1,6 +1,6 @@
 /**
- * The data folder of a control replica: identity, hard state, snapshot and log.
- * The identity names this folder's life; a replica whose folder was lost gets a new one and must join anew.
+ * Data folder of a control replica: identity, hard state, snapshot and log.
+ * The identity is unique to the folder: a replica whose folder was lost gets a new identity and must join again.
  */
 import { randomUUID } from 'node:crypto';
 import { join } from 'node:path';
@@ -12,7 +12,13 @@
   SnapshotPosition,
 } from '../consensus/raft-types.js';
 import { Err, Ok, type Result } from '../result.js';
-import { createFolder, readIfPresent, readWholeFile, replaceFile, replaceFileNow } from './durable-file.js';
+import {
+  createFolder,
+  readIfPresent,
+  readSingleRecord,
+  replaceFile,
+  replaceFileSync,
+} from './durable-file.js';
 import { LogFile } from './log-file.js';
 import type { CorruptionError } from './record-file.js';
 import type { FolderIdentity, ReplicaStore } from './replica-store.js';
@@ -22,7 +28,7 @@
 const SNAPSHOT_FILE = 'snapshot';
 const LOG_FILE = 'log';
 
-/** Why a data folder cannot be opened. */
+/** Reason why a data folder cannot be opened. */
 export type StorageError =
   CorruptionError | { readonly kind: 'wrong-owner'; readonly folder: string; readonly detail: string };
 
@@ -31,7 +37,7 @@
   readonly data: unknown;
 }
 
-/** State of a folder in which no log has begun yet. */
+/** Snapshot position of a new folder without a log. */
 const EMPTY_POSITION: SnapshotPosition = { index: 0, term: 0, membership: { voters: [], learners: [] } };
 
 /** An open data folder. */
@@ -45,14 +51,14 @@
     private retained: LogEntry[],
   ) {}
 
-  /** Opens the folder, creating it and its identity when it does not exist. */
+  /** Opens the folder; creates it with a new identity when it does not exist. */
   static async open(
     folder: string,
     name: string,
     founding = false,
   ): Promise<Result<ReplicaStorage, StorageError>> {
     await createFolder(folder);
-    const identity = await readWholeFile(join(folder, IDENTITY_FILE));
+    const identity = await readSingleRecord(join(folder, IDENTITY_FILE));
     if (identity.err) return identity;
     if (identity.val === null) await createFiles(folder, name, founding);
     return await openExisting(folder, name, (owner, log, durable, data, retained) => {
@@ -60,27 +66,27 @@
     });
   }
 
-  /** What the consensus core starts from. */
+  /** Initial state of the consensus core. */
   get initialState(): DurableState {
     return this.durable;
   }
 
-  /** Content of the snapshot that `initialState` starts from; null before the first. */
+  /** Content of the snapshot in `initialState`; null before the first snapshot. */
   get snapshotData(): unknown {
     return this.data;
   }
 
-  /** Whether the membership of this folder's log is known: it was formed, or a leader has sent its log. */
+  /** Whether the membership of the log is known: the cluster was formed here, or a leader has sent its log. */
   get formed(): boolean {
     return this.durable.snapshot.membership.voters.length > 0 || this.retained.length > 0;
   }
 
-  /** Bytes of the log file. */
+  /** Size of the log file in bytes. */
   get logBytes(): number {
     return this.log.bytes;
   }
 
-  /** Writes the first membership of a new cluster, durably. */
+  /** Durably writes the initial membership of a new cluster. */
   async form(membership: Membership): Promise<void> {
     const position = { index: 0, term: 0, membership };
     await this.writeSnapshot(position, null);
@@ -89,18 +95,18 @@
 
   /** Durably replaces the hard state. */
   saveHardState(hardState: HardState): Promise<void> {
-    replaceFileNow(join(this.folder, HARD_STATE_FILE), hardState);
+    replaceFileSync(join(this.folder, HARD_STATE_FILE), hardState);
     this.durable = { ...this.durable, hardState };
     return Promise.resolve();
   }
 
-  /** Adds entries; durable after `sync`. */
+  /** Appends entries; durable after `sync`. */
   async append(entries: readonly LogEntry[]): Promise<void> {
     await this.log.append(entries);
     this.retained.push(...entries);
   }
 
-  /** Removes entries from `fromIndex` on; durable after `sync`. */
+  /** Removes the entry at `fromIndex` and all later entries; durable after `sync`. */
   async truncate(fromIndex: number): Promise<void> {
     await this.log.truncate(fromIndex);
     this.retained = this.retained.filter((entry) => entry.index < fromIndex);
@@ -117,16 +123,16 @@
     await replaceFile(join(this.folder, SNAPSHOT_FILE), content);
   }
 
-  /** See `ReplicaStore`. A crash before this leaves entries that the snapshot has; `open` drops them. */
+  /** See `ReplicaStore`. After a crash before this call the log still has entries of the snapshot; `open` drops them. */
   async adoptSnapshot(position: SnapshotPosition, data: unknown): Promise<void> {
-    const kept = entriesAfter(position, this.retained);
-    if (kept.length !== this.retained.length) await this.log.rewrite(kept);
-    this.retained = kept;
-    this.durable = { ...this.durable, snapshot: position, entries: kept };
+    const remaining = entriesAfter(position, this.retained);
+    if (remaining.length !== this.retained.length) await this.log.rewrite(remaining);
+    this.retained = remaining;
+    this.durable = { ...this.durable, snapshot: position, entries: remaining };
     this.data = data;
   }
 
-  /** The newest snapshot, for sending to a replica that is far behind. */
+  /** Returns the latest snapshot, to send to a replica that lacks discarded entries. */
   currentSnapshot(): { readonly position: SnapshotPosition; readonly data: unknown } {
     return { position: this.durable.snapshot, data: this.data };
   }
@@ -137,7 +143,7 @@
   }
 }
 
-/** Creates all files of a new folder; the identity comes last, so that it vouches for the others. */
+/** Creates all files of a new folder. The identity is written last: its presence implies that the others exist. */
 async function createFiles(folder: string, name: string, founding: boolean): Promise<void> {
   const hardState: HardState = { term: 0, votedFor: null };
   const content: SnapshotFileContent = { position: EMPTY_POSITION, data: null };
@@ -149,7 +155,7 @@
   await replaceFile(join(folder, IDENTITY_FILE), owner);
 }
 
-type StorageMaker = (
+type StorageFactory = (
   owner: FolderIdentity,
   log: LogFile,
   durable: DurableState,
@@ -160,7 +166,7 @@
 async function openExisting(
   folder: string,
   name: string,
-  make: StorageMaker,
+  create: StorageFactory,
 ): Promise<Result<ReplicaStorage, StorageError>> {
   const identity = await readRequired(join(folder, IDENTITY_FILE));
   if (identity.err) return identity;
@@ -174,31 +180,31 @@
   const snapshot = await readRequired(join(folder, SNAPSHOT_FILE));
   if (snapshot.err) return snapshot;
   const logPath = join(folder, LOG_FILE);
-  if ((await readIfPresent(logPath)) === null) return Err(missing(logPath));
+  if ((await readIfPresent(logPath)) === null) return Err(missingFile(logPath));
   const log = await LogFile.open(logPath);
   if (log.err) return log;
   const { position, data } = snapshot.val as SnapshotFileContent;
   const retained = entriesAfter(position, log.val.entries);
   if (retained.length !== log.val.entries.length) await log.val.file.rewrite(retained);
-  const gap = retained[0] !== undefined && retained[0].index !== position.index + 1;
-  if (gap) return Err({ kind: 'corrupt-file', file: logPath, offset: 0, detail: 'entries are missing' });
+  const hasGap = retained[0] !== undefined && retained[0].index !== position.index + 1;
+  if (hasGap) return Err({ kind: 'corrupt-file', file: logPath, offset: 0, detail: 'entries are missing' });
   const durable = { hardState: hardState.val as HardState, snapshot: position, entries: retained };
-  return Ok(make(owner, log.val.file, durable, data, [...retained]));
+  return Ok(create(owner, log.val.file, durable, data, [...retained]));
 }
 
 async function readRequired(file: string): Promise<Result<unknown, CorruptionError>> {
-  const content = await readWholeFile(file);
-  if (content.ok && content.val === null) return Err(missing(file));
+  const content = await readSingleRecord(file);
+  if (content.ok && content.val === null) return Err(missingFile(file));
   return content;
 }
 
-function missing(file: string): CorruptionError {
+function missingFile(file: string): CorruptionError {
   return { kind: 'corrupt-file', file, offset: 0, detail: 'the file is missing' };
 }
 
 /**
- * Entries that remain after a snapshot: those that follow it, and only if the log agrees with the snapshot
- * at its position (Raft 5.1); a log that disagrees is stale as a whole.
+ * Returns the entries to keep after a snapshot: those that follow it, provided that the log agrees with the snapshot
+ * at its position (Raft 5.1). A log that disagrees is stale and is discarded as a whole.
  */
 export function entriesAfter(position: SnapshotPosition, entries: readonly LogEntry[]): LogEntry[] {
   const atPosition = entries.find((entry) => entry.index === position.index);
--- a/src/storage/replica-store.ts
+++ b/src/storage/replica-store.ts
@@ -1,4 +1,4 @@
-/** What a replica needs of its disk. */
+/** Interface of a replica's durable storage. */
 import type {
   DurableState,
   HardState,
@@ -7,42 +7,42 @@
   SnapshotPosition,
 } from '../consensus/raft-types.js';
 
-/** Who a data folder belongs to. */
+/** Identity of a data folder and of the replica that owns it. */
 export interface FolderIdentity {
   /** The replica's name in the settings. */
   readonly name: string;
-  /** Random; made once, when the folder was created. */
+  /** Random identifier, generated when the folder is created. */
   readonly identity: string;
-  /** Whether the folder was created at the first start of its deployment, so that it may take part in founding it. */
+  /** Whether the folder was created at the first start of its deployment and may therefore take part in formation. */
   readonly founding?: boolean;
 }
 
-/** Durable state of one replica. Methods are called one at a time, where nothing else is said. */
+/** Durable state of one replica. Calls must not overlap unless a method permits it. */
 export interface ReplicaStore {
   readonly owner: FolderIdentity;
-  /** What the consensus core starts from. */
+  /** Initial state of the consensus core. */
   readonly initialState: DurableState;
-  /** Content of the snapshot that `initialState` starts from; null before the first. */
+  /** Content of the snapshot in `initialState`; null before the first snapshot. */
   readonly snapshotData: unknown;
-  /** Whether the membership of this log is known: it was formed, or a leader has sent its log. */
+  /** Whether the membership of the log is known: the cluster was formed here, or a leader has sent its log. */
   readonly formed: boolean;
-  /** Bytes of the log. */
+  /** Size of the log in bytes. */
   readonly logBytes: number;
-  /** Writes the first membership of a new cluster, durably. */
+  /** Durably writes the initial membership of a new cluster. */
   form(membership: Membership): Promise<void>;
   /** Durably replaces the hard state. */
   saveHardState(hardState: HardState): Promise<void>;
-  /** Adds entries; durable after `sync`. */
+  /** Appends entries; durable after `sync`. */
   append(entries: readonly LogEntry[]): Promise<void>;
-  /** Removes entries from `fromIndex` on; durable after `sync`. */
+  /** Removes the entry at `fromIndex` and all later entries; durable after `sync`. */
   truncate(fromIndex: number): Promise<void>;
   /** Makes appended and truncated entries durable. */
   sync(): Promise<void>;
-  /** Durably writes a snapshot; the log stays as it is. May run beside other calls, but one at a time. */
+  /** Durably writes a snapshot without changing the log. May overlap other calls, but not another `writeSnapshot`. */
   writeSnapshot(position: SnapshotPosition, data: unknown): Promise<void>;
-  /** Makes a snapshot that was written the present one, and drops the entries that it replaces. */
+  /** Makes a written snapshot the current one and drops the entries that it contains. */
   adoptSnapshot(position: SnapshotPosition, data: unknown): Promise<void>;
-  /** The newest snapshot, for sending to a replica that is far behind. */
+  /** Returns the latest snapshot, to send to a replica that lacks discarded entries. */
   currentSnapshot(): { readonly position: SnapshotPosition; readonly data: unknown };
   /** Closes the files. */
   close(): Promise<void>;
--- a/test/consensus/disk-steps.test.ts
+++ b/test/consensus/disk-steps.test.ts
@@ -15,20 +15,20 @@
 const COMMIT: RaftEffect = { kind: 'commit', entries: [] };
 
 const CASES: readonly { name: string; effects: readonly RaftEffect[]; steps: readonly string[] }[] = [
-  { name: 'nothing for the disk', effects: [COMMIT], steps: [] },
+  { name: 'effects without disk writes need no step', effects: [COMMIT], steps: [] },
   { name: 'a vote is durable by itself', effects: [VOTE], steps: ['persist-hard-state'] },
   {
-    name: 'appends in a row are one write',
+    name: 'consecutive appends are merged into one write',
     effects: [append(1), append(2)],
     steps: ['persist-entries', 'sync'],
   },
   {
-    name: 'a truncation is synced before anything is written in its place',
+    name: 'a truncation is synced before the following append',
     effects: [TRUNCATE, append(3)],
     steps: ['truncate-log', 'sync', 'persist-entries', 'sync'],
   },
   {
-    name: 'an append is synced before another one that could not be joined to it',
+    name: 'an append is synced before a later append that cannot be merged with it',
     effects: [append(1), VOTE, append(2)],
     steps: ['persist-entries', 'persist-hard-state', 'sync', 'persist-entries', 'sync'],
   },
--- a/test/consensus/entry-applier.test.ts
+++ b/test/consensus/entry-applier.test.ts
@@ -5,9 +5,9 @@
 
 class Recorder {
   readonly seen: string[] = [];
-  private readonly due: (() => void)[] = [];
+  private readonly scheduled: (() => void)[] = [];
   readonly applier = new EntryApplier(
-    { ...nodeRuntime, nowMs: () => 0, afterInput: (run) => void this.due.push(run) },
+    { ...nodeRuntime, nowMs: () => 0, afterInput: (run) => void this.scheduled.push(run) },
     {
       apply: ({ index }) => void this.seen.push(`apply ${index}`),
       snapshot: () => null,
@@ -17,10 +17,10 @@
     () => undefined,
   );
 
-  /** Slices that were run. */
+  /** Runs all scheduled slices and returns their number. */
   runAll(): number {
     let slices = 0;
-    for (let run = this.due.shift(); run !== undefined; run = this.due.shift()) {
+    for (let run = this.scheduled.shift(); run !== undefined; run = this.scheduled.shift()) {
       run();
       slices += 1;
     }
@@ -36,7 +36,7 @@
   }));
 }
 
-test('a few entries are applied at once, many in slices, all in order', (t) => {
+test('a few entries are applied immediately, many in slices, all in order', (t) => {
   const recorder = new Recorder();
   recorder.applier.add(entries(1, 3));
   t.is(recorder.applier.appliedIndex, 3);
@@ -50,7 +50,7 @@
   );
 });
 
-test('a snapshot takes its place in the order, and what it replaces is not applied again', (t) => {
+test('a snapshot is restored in order, and entries that it contains are not applied again', (t) => {
   const recorder = new Recorder();
   recorder.applier.add(entries(1, 100));
   recorder.applier.restore({}, 150);
--- a/test/consensus/formation-core.test.ts
+++ b/test/consensus/formation-core.test.ts
@@ -8,43 +8,44 @@
   return NAMES.map((name) => new FormationCore(name, `${name}/1`, NAMES));
 }
 
-/** Everybody asks everybody once. */
-function askAll(cores: readonly FormationCore[]): void {
-  for (const asking of cores) {
-    for (const asked of cores) if (asked !== asking) asking.receive(asked.answer(asking.query()));
+/** Each replica queries every other replica once. */
+function queryAll(cores: readonly FormationCore[]): void {
+  for (const querying of cores) {
+    for (const answering of cores)
+      if (answering !== querying) querying.receive(answering.answer(querying.query()));
   }
 }
 
-test('the founder founds only when every member has answered, and the others follow', (t) => {
+test('the founder forms the cluster only after every member has answered, and the others adopt its membership', (t) => {
   const [a, b, c] = replicas() as [FormationCore, FormationCore, FormationCore];
   a.receive(b.answer(a.query()));
   t.is(a.outcome.kind, 'undecided');
   a.receive(c.answer(a.query()));
   t.deepEqual(a.outcome, { kind: 'member', membership: { voters: ['a/1', 'b/1', 'c/1'], learners: [] } });
-  askAll([a, b, c]);
+  queryAll([a, b, c]);
   t.is(b.outcome.kind, 'member');
   t.is(c.outcome.kind, 'member');
 });
 
-test('a replica that lost its folder is a stranger, also when it was the founder', (t) => {
+test('a replica that lost its folder is a stranger, even if it was the founder', (t) => {
   for (const lost of [0, 1]) {
     const cores = replicas();
-    askAll(cores);
+    queryAll(cores);
     const name = NAMES[lost] ?? '';
-    const again = new FormationCore(name, `${name}/2`, NAMES);
-    for (const core of cores) if (core !== cores[lost]) again.receive(core.answer(again.query()));
-    t.is(again.outcome.kind, 'stranger', name);
+    const restarted = new FormationCore(name, `${name}/2`, NAMES);
+    for (const core of cores) if (core !== cores[lost]) restarted.receive(core.answer(restarted.query()));
+    t.is(restarted.outcome.kind, 'stranger', name);
   }
 });
 
-test('an answer of an earlier life of the founder is ignored', (t) => {
+test('a delayed answer from a previous identity of the founder is ignored', (t) => {
   const [a, b, c] = replicas() as [FormationCore, FormationCore, FormationCore];
   a.receive(b.answer(a.query()));
   a.receive(c.answer(a.query()));
-  const late = a.answer(b.query());
-  const reborn = new FormationCore('a', 'a/2', NAMES);
-  b.answer(reborn.query());
-  b.receive(late);
+  const delayedAnswer = a.answer(b.query());
+  const withNewIdentity = new FormationCore('a', 'a/2', NAMES);
+  b.answer(withNewIdentity.query());
+  b.receive(delayedAnswer);
   t.is(b.outcome.kind, 'undecided');
 });
 
@@ -56,14 +57,14 @@
 };
 
 const JOIN_CASES: readonly { name: string; view: Partial<JoinView>; expected: unknown }[] = [
-  { name: 'its namesake still answers', view: {}, expected: null },
+  { name: 'the voter of the same name is still active', view: {}, expected: null },
   {
-    name: 'its namesake is gone',
+    name: 'the voter of the same name is inactive',
     view: { isActive: () => false },
     expected: { voters: ['a/1', 'b/1'], learners: [] },
   },
   {
-    name: 'the place is free',
+    name: 'no voter has the same name',
     view: { membership: { voters: ['a/1', 'b/1'], learners: [] } },
     expected: { voters: ['a/1', 'b/1'], learners: ['c/2'] },
   },
@@ -78,7 +79,7 @@
     expected: { voters: ['a/1', 'b/1', 'c/2'], learners: [] },
   },
   {
-    name: 'it votes already',
+    name: 'it is already a voter',
     view: { membership: { voters: ['a/1', 'b/1', 'c/2'], learners: [] } },
     expected: null,
   },
--- a/test/consensus/raft-core.test.ts
+++ b/test/consensus/raft-core.test.ts
@@ -13,12 +13,12 @@
 const MEMBERSHIP: Membership = { voters: ['a/1', 'b/1', 'c/1'], learners: [] };
 const TICK_MS = 20;
 
-/** By now a replica that heard nobody since its start has stood for election, once. */
+/** Time by which a replica that has heard no peer since its start has started exactly one election. */
 const LATE_MS = 10_000;
 const FIRST_ELECTION_MS = DEFAULT_RAFT_OPTIONS.heartbeatMs + DEFAULT_RAFT_OPTIONS.electionTimeoutMs / 2;
 const START_MS = LATE_MS - FIRST_ELECTION_MS;
 
-/** A leader's sign of life to `a/1`. */
+/** A leader's heartbeat to `a/1`. */
 const HEARTBEAT: RaftMessage = {
   kind: 'append-request',
   from: 'c/1',
@@ -44,7 +44,7 @@
   return new RaftCore(id, durable(given), DEFAULT_RAFT_OPTIONS, START_MS);
 }
 
-/** Ticks as the driver does, and returns all effects. */
+/** Ticks at the driver's interval and returns all effects. */
 function tickUntil(replica: RaftCore, fromMs: number, toMs: number): RaftEffect[] {
   const effects: RaftEffect[] = [];
   for (let nowMs = fromMs; nowMs <= toMs; nowMs += TICK_MS) {
@@ -62,7 +62,7 @@
 }
 
 /** Makes `a/1` leader of term 1 with the votes of `b/1`. */
-function lead(replica: RaftCore): RaftEffect[] {
+function makeLeader(replica: RaftCore): RaftEffect[] {
   tickUntil(replica, START_MS, LATE_MS);
   const vote = { from: 'b/1', to: 'a/1', term: 1, kind: 'vote-answer', granted: true } as const;
   replica.step({ kind: 'message', message: { ...vote, preVote: true } }, LATE_MS);
@@ -82,7 +82,7 @@
   return replica.step({ kind: 'message', message: answer }, LATE_MS);
 }
 
-test('a replica asks for pre-votes before it raises its term', (t) => {
+test('a replica requests pre-votes before it increments its term', (t) => {
   const replica = core();
   const effects = tickUntil(replica, START_MS, LATE_MS);
   t.is(replica.role, 'pre-candidate');
@@ -96,7 +96,7 @@
 
 test('a leader commits only with a quorum, and only after an entry of its own term', (t) => {
   const replica = core('a/1', { entries: [entry(1, 0)] });
-  lead(replica);
+  makeLeader(replica);
   t.is(replica.role, 'leader');
   acknowledge(replica, 'b/1', 1);
   t.is(replica.commitIndex, 0, 'an entry of an earlier term alone is not committed');
@@ -104,9 +104,9 @@
   t.is(replica.commitIndex, 2);
 });
 
-test('what the leader appends is made durable before it is sent', (t) => {
+test('entries that the leader appends are made durable before they are sent', (t) => {
   const replica = core();
-  lead(replica);
+  makeLeader(replica);
   const proposed = replica.step({ kind: 'propose', proposalId: 'p', command: {} }, LATE_MS);
   t.deepEqual(
     proposed.map(({ kind }) => kind),
@@ -116,7 +116,7 @@
   t.deepEqual(
     flushed.map((message) => (message.kind === 'append-request' ? message.entries.length : 0)),
     [2, 2],
-    'the entry that begins the term and the proposal share one message to each peer',
+    'the no-op entry that starts the term and the proposal share one message to each peer',
   );
 });
 
@@ -178,7 +178,7 @@
   });
 }
 
-test('a follower that hears its leader and misses entries is not up to date', (t) => {
+test('a follower that receives heartbeats but lacks entries is not up to date', (t) => {
   const replica = core();
   const heardMs = START_MS + 1_000;
   const missing = { ...HEARTBEAT, previousIndex: 7, previousTerm: 1, commitIndex: 7 };
@@ -190,7 +190,7 @@
   t.is(replica.upToDateMs, heardMs + 100);
 });
 
-test('nobody is up to date while no entry of the present term is committed: more may be than is known', (t) => {
+test('no replica is up to date before an entry of the current term is committed, since the commit index may be higher than known', (t) => {
   const held = {
     hardState: { term: 1, votedFor: null },
     snapshot: { index: 3, term: 1, membership: MEMBERSHIP },
@@ -206,7 +206,7 @@
   t.is(follower.upToDateMs, heardMs + 100);
 });
 
-test('no pre-vote while a leader is heard', (t) => {
+test('a replica refuses pre-votes while it hears a leader', (t) => {
   const replica = core();
   const heardMs = START_MS + 1_000;
   replica.step({ kind: 'message', message: HEARTBEAT }, heardMs);
@@ -227,36 +227,36 @@
   t.true(answerAt(heardMs + DEFAULT_RAFT_OPTIONS.electionTimeoutMs));
 });
 
-test('a leader that hears no quorum steps down', (t) => {
+test('a leader that does not hear a quorum steps down', (t) => {
   const replica = core();
-  lead(replica);
+  makeLeader(replica);
   tickUntil(replica, LATE_MS, LATE_MS + 3 * DEFAULT_RAFT_OPTIONS.electionTimeoutMs);
   t.is(replica.role, 'follower');
 });
 
-test('leadership is confirmed only by a round that began after the question', (t) => {
+test('leadership is confirmed only by a heartbeat round that began after the request', (t) => {
   const replica = core();
-  lead(replica);
+  makeLeader(replica);
   acknowledge(replica, 'b/1', 1);
   replica.step({ kind: 'tick' }, LATE_MS);
   replica.step({ kind: 'confirm-leadership', requestId: 7 }, LATE_MS);
   const confirmed = (effects: readonly RaftEffect[]): boolean =>
     effects.some(({ kind }) => kind === 'leadership-confirmed');
-  t.false(confirmed(acknowledge(replica, 'b/1', 1, 1)), 'the round was sent before the question');
+  t.false(confirmed(acknowledge(replica, 'b/1', 1, 1)), 'the round was sent before the request');
   replica.step({ kind: 'tick' }, LATE_MS + DEFAULT_RAFT_OPTIONS.heartbeatMs);
   t.true(confirmed(acknowledge(replica, 'b/1', 1, 2)));
 });
 
-test('one membership change at a time, and by one voter', (t) => {
+test('only one membership change is in progress, and it changes at most one voter', (t) => {
   const replica = core();
-  lead(replica);
+  makeLeader(replica);
   acknowledge(replica, 'b/1', 1);
   const change = (membership: Membership): void => {
     const event: RaftEvent = { kind: 'change-membership', membership };
     replica.step(event, LATE_MS);
   };
   change({ voters: ['a/1'], learners: [] });
-  t.deepEqual(replica.membership, MEMBERSHIP, 'two voters may not leave at once');
+  t.deepEqual(replica.membership, MEMBERSHIP, 'two voters cannot be removed in one change');
   const smaller = { voters: ['a/1', 'b/1'], learners: [] };
   change(smaller);
   t.deepEqual(replica.membership, smaller);
@@ -264,7 +264,7 @@
   t.deepEqual(replica.membership, smaller, 'the first change is not committed yet');
 });
 
-test('memberships of neighbouring changes share a voter in every two quorums', (t) => {
+test('quorums of memberships that differ by one voter overlap', (t) => {
   const of = (...voters: string[]): Membership => ({ voters, learners: [] });
   t.true(differsByOneVoter(of('a', 'b', 'c'), of('a', 'b')));
   t.true(differsByOneVoter(of('a', 'b'), of('a', 'b', 'd')));
@@ -272,34 +272,34 @@
   t.false(differsByOneVoter(of('a'), of()));
 });
 
-test('a replica that was stalled reads what waits for it before it stands for election', (t) => {
+test('a replica that was stalled processes pending messages before it starts an election', (t) => {
   const replica = core();
   tickUntil(replica, START_MS, START_MS + 60);
   const resumedMs = START_MS + 2_060;
   replica.step({ kind: 'tick' }, resumedMs);
-  t.is(replica.role, 'follower', 'two seconds without a tick are not two seconds without a leader');
+  t.is(replica.role, 'follower', 'two seconds without a tick do not count as two seconds without a leader');
   tickUntil(replica, resumedMs, resumedMs + 2 * DEFAULT_RAFT_OPTIONS.electionTimeoutMs);
   t.is(replica.role, 'pre-candidate');
 });
 
-test('a leader that was stalled is not deposed by its own clock', (t) => {
+test('a leader that was stalled does not step down because of the stall', (t) => {
   const replica = core();
-  lead(replica);
+  makeLeader(replica);
   tickUntil(replica, LATE_MS, LATE_MS + 300);
   replica.step({ kind: 'tick' }, LATE_MS + 1_500);
   t.is(replica.role, 'leader');
 });
 
-test('a replica that has heard a leader waits for a whole election timeout before it stands', (t) => {
+test('a replica that has heard a leader waits for a full election timeout before it starts an election', (t) => {
   const replica = core();
   replica.step({ kind: 'message', message: HEARTBEAT }, START_MS);
   tickUntil(replica, START_MS, START_MS + DEFAULT_RAFT_OPTIONS.electionTimeoutMs - TICK_MS);
   t.is(replica.role, 'follower');
 });
 
-test('a replica that has heard no leader stands again and again', (t) => {
+test('a replica that hears no leader repeats its election attempts', (t) => {
   const replica = core();
   const effects = tickUntil(replica, START_MS, START_MS + 3 * FIRST_ELECTION_MS);
-  t.true(sent(effects).length >= 6, 'three rounds of requests to two others');
-  t.is(replica.term, 0, 'pre-votes raise no term');
+  t.true(sent(effects).length >= 6, 'three rounds of requests to two peers');
+  t.is(replica.term, 0, 'pre-votes do not increment the term');
 });
--- a/test/consensus/raft-frames.test.ts
+++ b/test/consensus/raft-frames.test.ts
@@ -4,15 +4,15 @@
 import { decodeFrame } from '../../src/transport/frame-codec.js';
 
 function append(to: string, entries: readonly LogEntry[]): AppendRequest {
-  const place = { term: 2, previousIndex: 4, previousTerm: 2, commitIndex: 4, round: 9 };
-  return { kind: 'append-request', from: 'a/1', to, entries, ...place };
+  const position = { term: 2, previousIndex: 4, previousTerm: 2, commitIndex: 4, round: 9 };
+  return { kind: 'append-request', from: 'a/1', to, entries, ...position };
 }
 
 function entryAt(index: number, command: unknown): LogEntry {
   return { index, term: 2, payload: { kind: 'command', proposalId: `p-${index}`, command } };
 }
 
-test('messages of replicas come out as they were, whatever was sent before', (t) => {
+test('messages decode to the original, whatever was encoded before', (t) => {
   const frames = new RaftFrames();
   const first = entryAt(5, { kind: 'x', text: 'a "quoted" ä' });
   const packed = entryAt(6, { cells: Uint32Array.from([1, 2]) });
@@ -37,7 +37,7 @@
   for (const message of messages) t.deepEqual(decodeFrame(frames.encode(message)).unwrap(), message);
 });
 
-test('entries are written once, however many replicas they go to', (t) => {
+test('entries are serialized once for any number of replicas', (t) => {
   let reads = 0;
   const command = {
     get items() {
--- a/test/storage/full-disk.test.ts
+++ b/test/storage/full-disk.test.ts
@@ -1,9 +1,9 @@
-/** A disk that refuses writes for a while. */
+/** Writes to a disk that is temporarily full. */
 import { mkdtemp, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import test from 'ava';
-import { whenDiskHasRoom } from '../../src/consensus/full-disk.js';
+import { retryWhileDiskFull } from '../../src/consensus/full-disk.js';
 import { LogFile } from '../../src/storage/log-file.js';
 import type { LogEntry } from '../../src/consensus/raft-types.js';
 import { ManualTime } from '../sidecar/manual-runtime.js';
@@ -16,12 +16,12 @@
   for (let turn = 0; turn < 10; turn += 1) await Promise.resolve();
 }
 
-test('a refused write is repeated until there is room, and other errors are not', async (t) => {
+test('a write is retried while the disk is full, and not after other errors', async (t) => {
   const time = new ManualTime();
   let refusals = 3;
   let done = false;
   const full = Object.assign(new Error('full'), { code: 'ENOSPC' });
-  const writing = whenDiskHasRoom(time.runtime, async () => {
+  const writing = retryWhileDiskFull(time.runtime, async () => {
     await Promise.resolve();
     refusals -= 1;
     if (refusals >= 0) throw full;
@@ -38,12 +38,12 @@
   t.true(done);
   const broken = Object.assign(new Error('broken'), { code: 'EIO' });
   await t.throwsAsync(
-    whenDiskHasRoom(time.runtime, async () => await Promise.reject(broken)),
+    retryWhileDiskFull(time.runtime, async () => await Promise.reject(broken)),
     { is: broken },
   );
 });
 
-test('an append that failed is repeated in the same place', async (t) => {
+test('a failed append is retried at the same offset', async (t) => {
   const folder = await mkdtemp(join(tmpdir(), 'aldertide-'));
   const path = join(folder, 'log');
   const { file } = (await LogFile.open(path)).unwrap();
--- a/test/storage/record-file.test.ts
+++ b/test/storage/record-file.test.ts
@@ -4,13 +4,13 @@
 const VALUES = [{ index: 1, name: 'first' }, { index: 2, name: 'second' }, 'third'];
 const FILE = Buffer.concat(VALUES.map((value) => encodeRecord(value)));
 
-test('records come back as they were written', (t) => {
+test('records are read back as they were written', (t) => {
   const scan = scanRecords('file', FILE).unwrap();
   t.deepEqual(scan.values, VALUES);
-  t.is(scan.wholeBytes, FILE.length);
+  t.is(scan.validBytes, FILE.length);
 });
 
-test('a write that was cut anywhere leaves the whole records before it', (t) => {
+test('a write truncated at any byte leaves the complete records before it readable', (t) => {
   for (let length = 0; length < FILE.length; length += 1) {
     const scan = scanRecords('file', FILE.subarray(0, length));
     t.true(scan.ok, `cut at ${length}`);
@@ -18,7 +18,7 @@
   }
 });
 
-test('a flipped bit anywhere is found, and is never taken for a torn write', (t) => {
+test('a flipped bit at any position is detected and not mistaken for a torn write', (t) => {
   for (let at = 0; at < FILE.length; at += 1) {
     for (const bit of [0, 3, 7]) {
       const damaged = Buffer.from(FILE);
--- a/test/storage/replica-storage.test.ts
+++ b/test/storage/replica-storage.test.ts
@@ -34,7 +34,7 @@
   return (await ReplicaStorage.open(folder, 'b')).unwrap();
 }
 
-test('what was synced is there after a restart', async (t) => {
+test('synced state is restored after a restart', async (t) => {
   await inFolder(async (folder) => {
     const storage = await open(folder);
     await storage.form(MEMBERSHIP);
@@ -62,7 +62,7 @@
   });
 });
 
-test('a flipped byte anywhere in any file is a clear error, and so is a missing file', async (t) => {
+test('a corrupt byte at any position in any file is an error, and so is a missing file', async (t) => {
   await inFolder(async (folder) => {
     const storage = await open(folder);
     await storage.form(MEMBERSHIP);
@@ -89,7 +89,7 @@
   });
 });
 
-/** Does to a storage what the driver does with the effects of one step. */
+/** Persists the effects of one step as the driver does. */
 async function persist(storage: ReplicaStorage, effects: readonly RaftEffect[]): Promise<void> {
   for (const effect of effects) {
     if (effect.kind === 'persist-hard-state') await storage.saveHardState(effect.hardState);
@@ -104,26 +104,26 @@
 }
 
 const SNAPSHOT_CASES = [
-  { name: 'agrees with the log and is inside it', term: 1, lastIndexAfter: 6 },
+  { name: 'agrees with the log and lies within it', term: 1, lastIndexAfter: 6 },
   { name: 'disagrees with the log', term: 2, lastIndexAfter: 3 },
 ];
 
 for (const { name, term, lastIndexAfter } of SNAPSHOT_CASES) {
-  test(`disk and memory hold the same log after a snapshot that ${name}`, async (t) => {
+  test(`disk and memory contain the same log after a snapshot that ${name}`, async (t) => {
     await inFolder(async (folder) => {
       const storage = await open(folder);
       await storage.form(MEMBERSHIP);
       const core = new RaftCore('b/1', storage.initialState, DEFAULT_RAFT_OPTIONS, 0);
-      const take = async (message: RaftMessage): Promise<void> => {
+      const receive = async (message: RaftMessage): Promise<void> => {
         await persist(storage, core.step({ kind: 'message', message }, 1));
       };
       const head = { from: 'a/1', to: 'b/1', term: 2, round: 1 } as const;
       const append = { ...head, kind: 'append-request', commitIndex: 0 } as const;
-      await take({ ...append, previousIndex: 0, previousTerm: 0, entries: entries(1, 6) });
+      await receive({ ...append, previousIndex: 0, previousTerm: 0, entries: entries(1, 6) });
       const position = { index: 3, term, membership: MEMBERSHIP };
-      await take({ ...head, kind: 'snapshot-request', position, data: { state: 1 } });
+      await receive({ ...head, kind: 'snapshot-request', position, data: { state: 1 } });
       t.is(core.lastIndex, lastIndexAfter);
-      await take({ ...append, previousIndex: 3, previousTerm: term, entries: entries(4, 7, 2) });
+      await receive({ ...append, previousIndex: 3, previousTerm: term, entries: entries(4, 7, 2) });
       await storage.close();
       const again = await open(folder);
       const restarted = new RaftCore('b/1', again.initialState, DEFAULT_RAFT_OPTIONS, 0);
@@ -134,7 +134,7 @@
   });
 }
 
-test('a crash between writing a snapshot and dropping its entries loses nothing', async (t) => {
+test('a crash between writing a snapshot and dropping its entries loses no state', async (t) => {
   await inFolder(async (folder) => {
     const storage = await open(folder);
     await storage.form(MEMBERSHIP);
