--- a/spec/ownership.qnt
+++ b/spec/ownership.qnt
@@ -1,28 +1,28 @@
-/// Ownership: session leases, grants, planned moves, change of leader. Time is a counter that everybody reads;
-/// delays and freezes are the absence of steps. Checked by `npm run spec`; traces are replayed on the real state
-/// machine by test/spec/ownership-traces.test.ts.
+/// Shard ownership: session leases, grants, planned moves and changes of leader. Time is a global counter; delays and
+/// frozen processes are modelled as the absence of steps. Checked by `npm run spec`; traces are replayed on the real
+/// state machine by test/spec/ownership-traces.test.ts.
 module ownership {
   pure val BACKENDS: Set[str] = Set("one", "two")
   pure val SHARDS: Set[int] = Set(0, 1)
-  /// Length of a lease, in ticks.
+  /// Duration of a lease, in ticks.
   pure val TERM: int = 3
   pure val NOBODY: str = ""
 
   type Renewal = { backend: str, session: int, sent: int }
   type Row = { owner: str, epoch: int, session: int, movingTo: str, moveId: int }
 
-  /// The tick, and the number of commands that were committed.
+  /// The current tick, and the number of committed commands.
   var now: int
   var index: int
-  /// Replicated: rows and open sessions (0 for none).
+  /// Replicated state: shard rows and open sessions (0 for none).
   var rows: int -> Row
   var sessions: str -> int
-  /// The leader's own: when each session was last renewed.
+  /// State of the leader: time at which each session was last renewed.
   var renewedAt: str -> int
-  /// On their way.
+  /// Messages in flight.
   var renewals: Set[Renewal]
   var answers: Set[Renewal]
-  /// The agents': session, deadline, grants, and shards that were released for a move.
+  /// State of the agents: session, lease deadline, grants, and shards released for a move.
   var held: str -> int
   var deadline: str -> int
   var grants: str -> Set[{ shard: int, epoch: int }]
@@ -52,7 +52,7 @@
     keepReplicated, keepMessages, keepAgents,
   }
 
-  /// An agent takes its back end, which ends all grants there, and opens a session, which ends its earlier one.
+  /// An agent takes over its back end, which revokes all grants there, and opens a session, which closes its previous one.
   action openSession(b: str): bool = all {
     index' = index + 1,
     rows' = rows.keys().mapBy(s => freed(rows.get(s), b)),
@@ -66,7 +66,7 @@
     keepMessages,
   }
 
-  /// A row when the session of `b` has ended.
+  /// Returns a row after the session of `b` has ended.
   pure def freed(row: Row, b: str): Row =
     if (row.owner == b) { ...row, owner: NOBODY, session: 0, movingTo: NOBODY, moveId: 0 }
     else if (row.movingTo == b) { ...row, movingTo: NOBODY, moveId: 0 }
@@ -80,7 +80,7 @@
     keepReplicated, keepAgents,
   }
 
-  /// The leader answers, once a quorum has confirmed that it leads. A message may arrive again.
+  /// The leader answers after a quorum has confirmed its leadership. A message may be delivered more than once.
   action takeRenewal: bool = {
     nondet r = renewals.oneOf()
     all {
@@ -93,7 +93,7 @@
     }
   }
 
-  /// The holder counts from when it sent the renewal.
+  /// The session holder computes its deadline from the send time of the renewal.
   action takeAnswer: bool = {
     nondet r = answers.oneOf()
     all {
@@ -105,7 +105,7 @@
     }
   }
 
-  /// A new leader knows no renewal, so it gives every session a whole term.
+  /// A new leader has no record of renewals, so it grants every session a full term.
   action changeLeader = all {
     renewedAt' = BACKENDS.mapBy(b => now),
     now' = now,
@@ -132,7 +132,7 @@
     keepMessages, keepAgents,
   }
 
-  /// The agent learns of a row, as late as it likes, and grants the shard.
+  /// The agent receives a row, after an arbitrary delay, and grants the shard.
   action install(b: str, s: int): bool = all {
     rows.get(s).owner == b,
     rows.get(s).session == held.get(b),
@@ -156,7 +156,7 @@
     keepMessages, keepAgents,
   }
 
-  /// The old owner stops admitting.
+  /// The previous owner stops admitting requests.
   action release(s: int): bool = {
     val row = rows.get(s)
     all {
@@ -170,7 +170,7 @@
     }
   }
 
-  /// Control hears of the release and changes the owner.
+  /// Control receives the report of the release and changes the owner.
   action completeMove(s: int): bool = {
     val row = rows.get(s)
     all {
@@ -214,10 +214,10 @@
     grants.get(b).exists(g => g.shard == s),
   }
 
-  /// At most one back end would serve a shard at any moment.
+  /// At most one back end serves a shard at any time.
   val oneOwner = SHARDS.forall(s => BACKENDS.filter(b => serves(b, s)).size() <= 1)
 
-  /// Whoever would serve does so under the newest epoch, unless the row has no owner any more.
+  /// A back end that serves a shard does so under the latest epoch of its row; the row may already be unowned.
   val newestEpoch = BACKENDS.forall(b => grants.get(b).forall(g =>
     serves(b, g.shard) implies g.epoch == rows.get(g.shard).epoch))
 
--- a/src/control/changes.ts
+++ b/src/control/changes.ts
@@ -1,10 +1,10 @@
-/** What a committed command changed, as it is published to routers and agents. */
+/** Changes made by committed commands, as published to routers and agents. */
 import type { ServiceConfiguration } from '../config/configuration.js';
 import type { ShardRow } from '../model/shard.js';
 import type { CrashRecord } from '../quarantine/crash-records.js';
 import type { Session } from './control-state.js';
 
-/** A new configuration revision, as the services that differ from the revision before. */
+/** A new configuration revision, given as the services that differ from the previous revision. */
 export interface ConfigurationChange {
   readonly kind: 'configuration';
   readonly revision: number;
@@ -14,7 +14,7 @@
   readonly removed: readonly string[];
 }
 
-/** A new row of a shard, and who owned it before. */
+/** The new row of a shard and its previous owner. */
 export interface ShardChange {
   readonly row: ShardRow;
   readonly formerOwner: string | null;
@@ -26,7 +26,7 @@
   | { readonly kind: 'session-opened'; readonly session: Session }
   | { readonly kind: 'session-closed'; readonly session: number; readonly service: string }
   | { readonly kind: 'drain'; readonly backend: string; readonly draining: boolean }
-  /** Records of requests under which back ends ended; those whose fingerprints are `removed` hold nothing any more. */
+  /** Crash records of requests during which back ends ended; records whose fingerprints are in `removed` are deleted. */
   | {
       readonly kind: 'crash-records';
       readonly changed: readonly CrashRecord[];
@@ -34,13 +34,13 @@
     }
   | { readonly kind: 'shards'; readonly service: string; readonly shards: readonly ShardChange[] };
 
-/** Part of the state that a daemon watches. */
+/** Part of the state that a daemon watches: one back end of a service. */
 export interface WatchScope {
   readonly service: string;
   readonly backend: string;
 }
 
-/** The part of `changes` that lies in a scope; revisions are always told, so that all daemons count alike. */
+/** Returns the changes within a scope. Revisions are always included, so that all daemons report the same revision. */
 export function changesInScope(changes: readonly Change[], scope: WatchScope): Change[] {
   return changes.flatMap((change): Change[] => {
     switch (change.kind) {
@@ -75,12 +75,12 @@
   return shards === undefined ? [] : [{ ...change, shards }];
 }
 
-/** Made once for each change, since every back end of a service asks for its part of it. */
+/** Cache of the shard changes by back end, computed once per change because every back end of the service needs it. */
 const changesByBackend = new WeakMap<ShardsChange, ReadonlyMap<string, readonly ShardChange[]>>();
 
 function shardsByBackend(change: ShardsChange): ReadonlyMap<string, readonly ShardChange[]> {
-  const known = changesByBackend.get(change);
-  if (known !== undefined) return known;
+  const cached = changesByBackend.get(change);
+  if (cached !== undefined) return cached;
   const groups = new Map<string, ShardChange[]>();
   for (const shard of change.shards) {
     const { owner, movingTo } = shard.row;
--- a/src/control/commands.ts
+++ b/src/control/commands.ts
@@ -1,91 +1,91 @@
-/** Commands of the replicated state machine. Times are wall-clock ms, taken by the leader that proposed. */
+/** Commands of the replicated state machine. Times are wall-clock ms of the leader that proposed the command. */
 import type { ConfigurationDocument } from '../config/configuration.js';
 import type { SocketAddress } from '../model/socket-address.js';
 import type { CrashCommand } from '../quarantine/crash-commands.js';
 
-/** Replaces the configuration if `baseRevision` is the present one. */
+/** Replaces the configuration if `baseRevision` is the current revision. */
 export interface ConfigureCommand {
   readonly kind: 'configure';
-  /** Chosen by the operator; a resend under the same id gets the first answer. */
+  /** Chosen by the operator; a resend with the same id receives the original answer. */
   readonly submissionId: string;
   readonly baseRevision: number;
   readonly document: ConfigurationDocument;
 }
 
-/** Opens a session for a back end and closes its earlier one. */
+/** Opens a session for a back end and closes its previous session. */
 export interface OpenSessionCommand {
   readonly kind: 'open-session';
   readonly service: string;
   readonly backend: string;
-  /** Chosen by the agent; asking again under the same id gets the same session. */
+  /** Chosen by the agent; a repeated request with the same id receives the same session. */
   readonly openId: string;
   readonly agentAddress: SocketAddress;
   readonly wallMs: number;
 }
 
-/** Ends sessions whose lease ran out or that were given up; their shards lose their owner. */
+/** Closes sessions whose lease expired or that the agent gave up; their shards become unowned. */
 export interface CloseSessionsCommand {
   readonly kind: 'close-sessions';
   readonly sessions: readonly number[];
   readonly wallMs: number;
 }
 
-/** Gives shards without owner to back ends. */
+/** Assigns unowned shards to back ends. */
 export interface AssignCommand {
   readonly kind: 'assign';
   readonly service: string;
   readonly assignments: readonly BackendAssignment[];
 }
 
-/** Shards that one back end gets; a typed array, so that a first assignment stays a small log entry. */
+/** Shards assigned to one back end; a typed array keeps the log entry of a first assignment small. */
 export interface BackendAssignment {
   readonly backend: string;
   readonly shards: Uint32Array;
 }
 
-/** Starts planned moves; the owner keeps each shard until it has handed it over. */
+/** Starts planned moves; the owner keeps each shard until the handover is complete. */
 export interface BeginMovesCommand {
   readonly kind: 'begin-moves';
   readonly service: string;
   readonly moves: readonly ShardTarget[];
 }
 
-/** The owner has released a shard for a move; the target owns it from now on. */
+/** Completes a move after the owner has released the shard; the target becomes the owner. */
 export interface CompleteMoveCommand {
   readonly kind: 'complete-move';
   readonly service: string;
   readonly shard: number;
-  /** The move that the report is about. */
+  /** Id of the move. */
   readonly moveId: number;
-  /** Whether the target holds the window of claimed idempotency keys. */
+  /** Whether the window of claimed idempotency keys was transferred to the target. */
   readonly windowHandedOver: boolean;
   readonly wallMs: number;
 }
 
-/** A planned move cannot be done; the owner keeps the shard. */
+/** Cancels a planned move that cannot be carried out; the owner keeps the shard. */
 export interface CancelMoveCommand {
   readonly kind: 'cancel-move';
   readonly service: string;
   readonly shard: number;
-  /** The move that the report is about. */
+  /** Id of the move. */
   readonly moveId: number;
 }
 
-/** Marks a back end as leaving or takes the mark away. */
+/** Starts or stops draining a back end. */
 export interface SetDrainCommand {
   readonly kind: 'set-drain';
   readonly backend: string;
   readonly draining: boolean;
 }
 
-/** All back ends of a zone are to be emptied, or are back in service. */
+/** Starts or ends the evacuation of a zone, which drains all its back ends. */
 export interface SetEvacuationCommand {
   readonly kind: 'set-evacuation';
   readonly zone: string;
   readonly evacuated: boolean;
 }
 
-/** A shard and the back end that it should go to. */
+/** A shard and its target back end. */
 export interface ShardTarget {
   readonly shard: number;
   readonly backend: string;
@@ -104,7 +104,7 @@
   | SetEvacuationCommand
   | CrashCommand;
 
-/** What a command did. */
+/** Outcome of an applied command. */
 export type CommandOutcome =
   | { readonly kind: 'done' }
   | { readonly kind: 'configured'; readonly revision: number }
--- a/src/control/control-node.ts
+++ b/src/control/control-node.ts
@@ -1,4 +1,4 @@
-/** One control replica: joins storage, consensus, connections and the duties of a leader. */
+/** One control replica: combines storage, consensus, connections and the duties of the leader. */
 import type { ControlSettings } from '../config/daemon-settings.js';
 import { FormationCore, type FormationOutcome } from '../consensus/formation-core.js';
 import { Replica, type ReplicaPorts } from '../consensus/replica.js';
@@ -32,7 +32,7 @@
 import { LeaseTable } from './lease-table.js';
 import { LoadTable } from './load-table.js';
 import { MembershipAdmission } from './membership-admission.js';
-import { readPeerMessage } from './peer-messages.js';
+import { parsePeerMessage } from './peer-messages.js';
 import { PeerNetwork, type PeerMessage } from './peer-network.js';
 import { Proposals, type ProposalError } from './proposals.js';
 import { spread, textHash } from '../model/text-hash.js';
@@ -41,22 +41,22 @@
 import { SessionService } from './session-service.js';
 import { WatchHub } from './watch-hub.js';
 
-/** Pause between questions while the cluster is being formed, in ms. */
-const FORMATION_RETRY_MS = 200;
+/** Interval between formation queries while the cluster is being formed, in ms. */
+const FORMATION_QUERY_INTERVAL_MS = 200;
 
-/** Pause between requests to be made a member, in ms. */
-const JOIN_RETRY_MS = 500;
+/** Interval between join requests of a replica that is not a voter, in ms. */
+const JOIN_REQUEST_INTERVAL_MS = 500;
 
-/** Pause between signs of life to watchers, in ms. */
-const WATCH_ALIVE_MS = 1_000;
+/** Interval between heartbeats to watchers, in ms. */
+const WATCH_HEARTBEAT_INTERVAL_MS = 1_000;
 
-/** A follower that heard no leader for this many election timeouts serves no watchers. */
-const STALE_ELECTION_TIMEOUTS = 3;
+/** Number of election timeouts without a leader after which a follower stops serving watchers. */
+const STALENESS_ELECTION_TIMEOUTS = 3;
 
-/** A member that did not answer for this many election timeouts counts as gone. */
-const INACTIVE_ELECTION_TIMEOUTS = 2;
+/** Number of election timeouts without an answer after which a member counts as inactive. */
+const INACTIVITY_ELECTION_TIMEOUTS = 2;
 
-/** What a replica is started with. */
+/** Options and dependencies of a control replica. */
 export interface ControlNodeOptions {
   readonly settings: ControlSettings;
   readonly token: string;
@@ -65,9 +65,9 @@
   readonly logger: Logger;
   /** Called once when the disk fails. */
   readonly onFatal: (error: unknown) => void;
-  /** Given where the leader's leases are not to be kept in the usual way. */
+  /** Overrides the leader's lease table. */
   readonly leases?: LeaseTable;
-  /** Told of every committed entry, in order. */
+  /** Called for every committed entry, in log order. */
   readonly onApplied?: (entry: LogEntry) => void;
 }
 
@@ -77,7 +77,7 @@
   readonly sessions: SessionService;
   readonly gateway: DaemonGateway;
   readonly id: ReplicaId;
-  /** Connections that were refused, and unreadable messages of other replicas. */
+  /** Number of refused connections and of unreadable messages from other replicas. */
   readonly counters = { refusedConnections: 0, unreadablePeerMessages: 0 };
   private readonly settings: ControlSettings;
   private readonly runtime: Runtime;
@@ -96,8 +96,8 @@
   private readonly timers: CancelTimer[] = [];
   private replica: Replica | null = null;
   private leadingTerm = 0;
-  /** Whether it led until its role changed last. */
-  private hasLed = false;
+  /** Whether this replica was the leader before the latest role change. */
+  private wasLeader = false;
 
   private constructor(private readonly options: ControlNodeOptions) {
     const { settings, token, runtime, storage, logger } = options;
@@ -117,7 +117,7 @@
         this.proposals.applied(proposalId, outcome);
       },
       (changes) => {
-        this.duties.noteChanges(changes);
+        this.duties.recordChanges(changes);
       },
       options.onApplied,
     );
@@ -131,9 +131,9 @@
       () => this.state.crashRecords,
       (command) => void this.proposals.propose(command),
     );
-    this.sessions = this.makeSessions();
-    this.gateway = this.makeGateway();
-    this.admission = new MembershipAdmission(INACTIVE_ELECTION_TIMEOUTS * timing.electionTimeoutMs);
+    this.sessions = this.createSessionService();
+    this.gateway = this.createGateway();
+    this.admission = new MembershipAdmission(INACTIVITY_ELECTION_TIMEOUTS * timing.electionTimeoutMs);
     const memberNames = members.map((member) => member.name);
     this.formation = new FormationCore(name, this.id, memberNames);
     this.listener = runtime.serve(token, {
@@ -143,7 +143,7 @@
     this.network = new PeerNetwork(runtime, { role: 'control', name, zone, token }, members);
   }
 
-  /** Opens the data folder and starts to listen. `onFatal` is called once when the disk fails. */
+  /** Opens the data folder and starts listening. `onFatal` is called once when the disk fails. */
   static async start(
     settings: ControlSettings,
     token: string,
@@ -156,7 +156,7 @@
     return await ControlNode.startWith(options);
   }
 
-  /** Starts on a disk that is already open. */
+  /** Starts a replica with storage that is already open. */
   static async startWith(options: ControlNodeOptions): Promise<Result<ControlNode, string>> {
     const node = new ControlNode(options);
     const listening = await node.listener.listen(options.settings.listen);
@@ -166,12 +166,12 @@
     return Ok(node);
   }
 
-  /** The replicated state as far as it is known here. */
+  /** The replicated state as applied by this replica. */
   get state(): ControlState {
     return this.replicated.state;
   }
 
-  /** Whether this replica leads and its state is current. */
+  /** Whether this replica is the leader and its state is current. */
   get leading(): boolean {
     return this.replica?.leading === true;
   }
@@ -181,48 +181,48 @@
     return this.replica;
   }
 
-  /** Whether a leader was heard lately, and all that was committed is held here, so that what is read is not old. */
-  get current(): boolean {
+  /** Whether this replica recently heard a leader and held all committed entries, so that reads are not stale. */
+  get isCurrent(): boolean {
     if (this.replica === null) return false;
     const { core } = this.replica;
-    const staleMs = STALE_ELECTION_TIMEOUTS * this.settings.timing.electionTimeoutMs;
+    const staleMs = STALENESS_ELECTION_TIMEOUTS * this.settings.timing.electionTimeoutMs;
     const sinceMs = this.runtime.nowMs() - staleMs;
     return core.leader !== null && core.leaderLastHeardMs > sinceMs && core.upToDateMs > sinceMs;
   }
 
-  /** Whether a daemon that begins to watch is given all that was committed, and not only what is applied so far. */
-  private get servesTables(): boolean {
+  /** Whether all committed entries are applied, so that a new watcher receives a complete table. */
+  private get canServeWatchers(): boolean {
     const { replica } = this;
-    return this.current && replica !== null && replica.applied >= replica.core.commitIndex;
+    return this.isCurrent && replica !== null && replica.applied >= replica.core.commitIndex;
   }
 
-  /** Member that leads, by name, as far as is known here. */
+  /** Name of the leader as known to this replica, or null. */
   get leaderName(): string | null {
     const leader = this.replica?.core.leader ?? null;
     return leader === null ? null : replicaName(leader);
   }
 
-  /** Load of the shards as the leader was told. */
+  /** Returns the shard loads reported to the leader. */
   loadsByService(): ServiceLoads[] {
     return this.loads.describe();
   }
 
-  /** Why the policy of a service could not be followed; known to the leader only. */
+  /** Returns the reason why the policy of a service could not be followed; known only to the leader. */
   policyProblem(service: string): string | null {
     return this.duties.policyProblem(service);
   }
 
-  /** Members by the settings. */
+  /** Members listed in the settings. */
   get members(): ControlSettings['members'] {
     return this.settings.members;
   }
 
-  /** Bytes between control replicas, dialed from here. */
+  /** Returns the bytes exchanged with other control replicas over connections that this replica dialed. */
   peerTraffic(): Traffic {
     return this.network.traffic();
   }
 
-  /** Bytes sent over the connections that were dialed to here: to agents and routers. */
+  /** Bytes sent over accepted connections, to agents and routers. */
   get daemonBytesSent(): number {
     return this.listener.bytesSent;
   }
@@ -232,12 +232,12 @@
     return this.storage.logBytes;
   }
 
-  /** Proposes a command; it is durable on a quorum once an outcome is returned. */
+  /** Proposes a command; when an outcome is returned, the command is durable on a quorum. */
   async propose(command: ControlCommand): Promise<Result<CommandOutcome, ProposalError>> {
     return await this.proposals.propose(command);
   }
 
-  /** Stops everything and closes the data folder. */
+  /** Stops all timers, connections and the replica, and closes the data folder. */
   async stop(): Promise<void> {
     for (const cancel of this.timers) cancel();
     this.listener.close();
@@ -247,7 +247,7 @@
     else await this.replica.stop();
   }
 
-  private makeSessions(): SessionService {
+  private createSessionService(): SessionService {
     const ports = {
       state: () => this.state,
       confirmLeadership: (requestId: number) =>
@@ -260,12 +260,12 @@
     return new SessionService(sessionTermMs, leases, ports, this.proposals, this.loads);
   }
 
-  private makeGateway(): DaemonGateway {
+  private createGateway(): DaemonGateway {
     const ports = {
       state: () => this.state,
-      applied: () => this.replica?.applied ?? 0,
-      current: () => this.servesTables,
-      onDuty: () => this.leading && this.leadingTerm === this.replica?.core.term,
+      appliedIndex: () => this.replica?.applied ?? 0,
+      canServeWatchers: () => this.canServeWatchers,
+      isActiveLeader: () => this.leading && this.leadingTerm === this.replica?.core.term,
       leaderName: () => this.leaderName,
       wallMs: () => this.runtime.wallMs(),
       propose: async (command: ControlCommand) => await this.propose(command),
@@ -282,7 +282,7 @@
 
   private startFormation(): void {
     this.logger.info('waiting for all members to form the cluster');
-    const cancel = this.runtime.every(FORMATION_RETRY_MS, () => {
+    const cancel = this.runtime.every(FORMATION_QUERY_INTERVAL_MS, () => {
       if (this.formation.outcome.kind === 'undecided') {
         this.network.broadcast(this.formation.query());
         return;
@@ -305,24 +305,24 @@
       ...DEFAULT_RAFT_OPTIONS,
       heartbeatMs: timing.heartbeatMs,
       electionTimeoutMs: timing.electionTimeoutMs,
-      // Replicas draw different election timeouts; the generator takes a signed number.
+      // Gives each replica different election timeouts; the generator requires a signed integer.
       seed: textHash(this.id) | 0,
       snapshotEveryEntries: snapshotEveryEntries + spread(this.id, Math.ceil(snapshotEveryEntries / 4)),
     };
     const ports = this.replicaPorts();
     this.replica = new Replica(this.id, this.runtime, this.storage, this.replicated, ports, options);
-    // One that came back with less than it had shows it here.
+    // Logged so that a replica that restarted with less data than before can be recognized.
     const { lastIndex, term, commitIndex: snapshotIndex } = this.replica.core;
     this.logger.info('replica recovered', { lastIndex, term, snapshotIndex });
     this.timers.push(
       this.runtime.every(timing.planIntervalMs, () => {
-        this.runDuties();
+        this.runLeaderDuties();
       }),
-      this.runtime.every(JOIN_RETRY_MS, () => {
+      this.runtime.every(JOIN_REQUEST_INTERVAL_MS, () => {
         this.requestToJoin();
       }),
-      this.runtime.every(WATCH_ALIVE_MS, () => {
-        if (this.current) this.hub.sendAlive();
+      this.runtime.every(WATCH_HEARTBEAT_INTERVAL_MS, () => {
+        if (this.isCurrent) this.hub.sendHeartbeat();
       }),
     );
   }
@@ -333,7 +333,7 @@
         this.network.send(message);
       },
       onRoleChanged: (role, term, leader) => {
-        this.roleChanged(role, term, leader);
+        this.handleRoleChange(role, term, leader);
       },
       onLeadershipConfirmed: (requestId) => {
         this.sessions.confirmed(requestId);
@@ -351,27 +351,28 @@
     this.network.broadcast({ kind: 'join-request', id: this.id });
   }
 
-  // ---- leading
+  // ---- leadership
 
-  private roleChanged(role: RaftRole, term: number, leader: ReplicaId | null): void {
+  private handleRoleChange(role: RaftRole, term: number, leader: ReplicaId | null): void {
     this.logger.info('role changed', { role, term, leader: leader === null ? null : replicaName(leader) });
-    // Only a leader appends proposals; what others were asked is dropped for certain, and is told so.
-    if (role !== 'leader' && this.hasLed) this.proposals.abandonAll();
-    this.hasLed = role === 'leader';
+    // Only a leader appends proposals. Those of any other replica are certain to be dropped and are reported as such.
+    if (role !== 'leader' && this.wasLeader) this.proposals.abandonAll();
+    this.wasLeader = role === 'leader';
   }
 
-  private runDuties(): void {
+  private runLeaderDuties(): void {
     const { replica } = this;
     if (replica === null) return;
-    if (!this.current) this.hub.dismissAll('no-leader');
+    if (!this.isCurrent) this.hub.dismissAll('no-leader');
     if (!replica.leading) return;
     if (this.leadingTerm !== replica.core.term) this.startLeading(replica.core.term);
     this.sessions.expire();
     this.duties.run(this.runtime.nowMs());
     this.crashDuties.run(this.runtime.nowMs());
     const { electionTimeoutMs } = this.settings.timing;
-    // After a suspension nobody seems to have answered for as long; that says nothing of the others.
-    if (!this.clockSkips.lately(electionTimeoutMs)) this.admission.advance(replica, this.runtime.nowMs());
+    // After a suspension of this process all members seem inactive, although they may not be.
+    if (!this.clockSkips.lately(electionTimeoutMs))
+      this.admission.submitNextChange(replica, this.runtime.nowMs());
   }
 
   private startLeading(term: number): void {
@@ -397,7 +398,7 @@
   }
 
   private receiveFromPeer(message: unknown, connection: Connection): void {
-    const checked = readPeerMessage(message);
+    const checked = parsePeerMessage(message);
     if (checked === null) {
       this.counters.unreadablePeerMessages += 1;
       connection.close('unreadable message');
@@ -422,7 +423,7 @@
     }
   }
 
-  /** A replica that was formed in an earlier life answers with its membership, whoever founded it. */
+  /** A replica that restarted after formation answers with its current membership. */
   private answerFormation(query: Parameters<FormationCore['answer']>[0]): PeerMessage {
     const answer = this.formation.answer(query);
     if (this.replica === null || answer.membership !== null) return answer;
@@ -431,6 +432,6 @@
 }
 
 function describeStorageError(error: StorageError): string {
-  const place = error.kind === 'corrupt-file' ? `${error.file} at byte ${error.offset}` : error.folder;
-  return `${error.kind}: ${place}: ${error.detail}; move the folder away, so that this replica joins anew`;
+  const location = error.kind === 'corrupt-file' ? `${error.file} at byte ${error.offset}` : error.folder;
+  return `${error.kind}: ${location}: ${error.detail}; move the folder away, so that this replica joins again with an empty one`;
 }
--- a/src/control/control-state.ts
+++ b/src/control/control-state.ts
@@ -1,4 +1,4 @@
-/** The replicated state: configuration, sessions, shard ownership. Changed only by committed commands. */
+/** The replicated state: configuration, sessions and shard ownership. Only committed commands change it. */
 import type { ConfigurationDocument } from '../config/configuration.js';
 import type { SocketAddress } from '../model/socket-address.js';
 import type { CrashRecords } from '../quarantine/crash-records.js';
@@ -6,48 +6,48 @@
 
 /** An agent's session: while its lease is renewed, its back end may own shards. */
 export interface Session {
-  /** Index of the log entry that opened it; never used twice. */
+  /** Index of the log entry that opened the session; never reused. */
   readonly id: number;
   readonly backend: string;
   readonly service: string;
-  /** Id under which the agent asked for it. */
+  /** Id that the agent chose for its request. */
   readonly openId: string;
-  /** Where other agents hand over to this one. */
+  /** Address at which this agent accepts handovers from other agents. */
   readonly agentAddress: SocketAddress;
 }
 
-/** The answer that a submission got, kept so that a resend gets the same one. */
+/** Stored answer of a submission, so that a resend receives the same answer. */
 export interface SubmissionRecord {
   readonly submissionId: string;
   readonly revision: number;
 }
 
-/** A configuration and its place in the order of configurations. */
+/** A configuration and its revision number. */
 export interface ConfigurationRevision {
-  /** Rises by one with every accepted change; 0 before the first. */
+  /** Incremented with every accepted change; 0 before the first. */
   readonly revision: number;
   readonly document: ConfigurationDocument;
 }
 
-/** Everything that is replicated. */
+/** The complete replicated state. */
 export interface ControlState {
   configuration: ConfigurationRevision;
-  /** Newest last. */
+  /** In order of acceptance, newest last. */
   submissions: SubmissionRecord[];
   readonly sessions: Map<number, Session>;
-  /** Names of back ends that an operator has named to be emptied. */
+  /** Names of back ends that an operator drains. */
   readonly drained: Set<string>;
-  /** Zones whose back ends are all to be emptied. */
+  /** Zones under evacuation, whose back ends are all drained. */
   readonly evacuatedZones: Set<string>;
-  /** Names of back ends that are to be emptied, for one reason or the other. */
+  /** Names of all draining back ends: those in `drained` and those in evacuated zones. */
   readonly draining: Set<string>;
-  /** Rows by service. */
+  /** Shard rows by service. */
   readonly shards: Map<string, ServiceShards>;
-  /** Requests under which back ends have ended, by fingerprint. */
+  /** Records of requests during which back ends ended, by fingerprint. */
   readonly crashRecords: CrashRecords;
 }
 
-/** The state before the first command. */
+/** Returns the state before the first command. */
 export function emptyControlState(): ControlState {
   return {
     configuration: { revision: 0, document: { version: 1, services: {} } },
@@ -61,7 +61,7 @@
   };
 }
 
-/** The open session of a back end, if any. */
+/** Returns the open session of a back end, if any. */
 export function sessionOfBackend(state: ControlState, backend: string): Session | undefined {
   for (const session of state.sessions.values()) {
     if (session.backend === backend) return session;
@@ -69,12 +69,12 @@
   return undefined;
 }
 
-/** Open sessions by back end. */
+/** Returns the open sessions by back end. */
 export function sessionsByBackend(state: ControlState): ReadonlyMap<string, Session> {
   return new Map([...state.sessions.values()].map((session) => [session.backend, session]));
 }
 
-/** How records of ends name the life of a back end that one session stands for. */
+/** Returns the identifier, in crash records, of the back end's incarnation that a session represents. */
 export function sessionLife(backend: string, session: number): string {
   return `${backend}#${session}`;
 }
--- a/src/control/control-status.ts
+++ b/src/control/control-status.ts
@@ -1,4 +1,4 @@
-/** What a control replica tells operators about itself and the deployment. Holds no secrets. */
+/** Status of a control replica and of the deployment, for operators. Contains no secrets. */
 import type { ShardRow } from '../model/shard.js';
 import type { ControlNode } from './control-node.js';
 
@@ -11,7 +11,7 @@
   readonly revision: number;
 }
 
-/** One back end. */
+/** Status of one back end. */
 export interface BackendStatus {
   readonly service: string;
   readonly backend: string;
@@ -20,19 +20,19 @@
   readonly shards: number;
 }
 
-/** One service. */
+/** Status of one service. */
 export interface ServiceStatus {
   readonly service: string;
   readonly shards: number;
   readonly unowned: number;
   readonly moving: number;
-  /** Largest number of shards at a back end over the mean; 1 is even. */
+  /** Maximum number of shards at a back end divided by the mean; 1 is even. */
   readonly imbalance: number;
-  /** Why the placement policy could not be followed, as the leader knows; null when it was. */
+  /** Reason why the placement policy could not be followed, known to the leader; null when it was followed. */
   readonly policyProblem: string | null;
 }
 
-/** The whole status. */
+/** Complete status document. */
 export interface ControlStatus {
   readonly replica: string;
   readonly role: string;
@@ -44,12 +44,12 @@
   readonly revision: number;
   readonly services: readonly ServiceStatus[];
   readonly backends: readonly BackendStatus[];
-  /** Zones whose back ends are all to be emptied. */
+  /** Zones under evacuation, whose back ends are all drained. */
   readonly evacuatedZones: readonly string[];
   readonly watchers: readonly WatcherStatus[];
 }
 
-/** Describes a replica. */
+/** Returns the status of a replica. */
 export function describeStatus(node: ControlNode): ControlStatus {
   const core = node.consensus?.core;
   const backends = describeBackends(node);
--- a/src/control/daemon-gateway.ts
+++ b/src/control/daemon-gateway.ts
@@ -1,4 +1,4 @@
-/** Takes the requests of agents and routers to the part of the replica that answers them. */
+/** Dispatches requests of agents and routers to the component of the replica that handles them. */
 import type { Hello } from '../transport/hello.js';
 import { answerRunRequest, type RunRequestPorts } from '../quarantine/crash-messages.js';
 import type { Connection } from '../runtime/runtime.js';
@@ -18,23 +18,23 @@
 
 type SessionRequest = Exclude<DaemonRequest, { kind: 'watch' | 'watched' }>;
 
-/** What the gateway needs of its replica. */
+/** Dependencies of the gateway on its replica. */
 export interface GatewayPorts {
   readonly state: () => ControlState;
-  /** Index of the newest entry that is in the state. */
-  readonly applied: () => number;
-  /** Whether a leader was heard lately, so that what is read here is not old. */
-  readonly current: () => boolean;
-  /** Whether this replica leads and has begun its duties. */
-  readonly onDuty: () => boolean;
+  /** Index of the last entry applied to the state. */
+  readonly appliedIndex: () => number;
+  /** Whether this replica is current and has applied all committed entries, so that it can serve watchers. */
+  readonly canServeWatchers: () => boolean;
+  /** Whether this replica is the leader and has started its duties in the current term. */
+  readonly isActiveLeader: () => boolean;
   readonly leaderName: () => string | null;
   readonly wallMs: () => number;
   readonly propose: (command: ControlCommand) => Promise<Result<CommandOutcome, ProposalError>>;
 }
 
-/** The gateway of one replica. */
+/** Gateway of one replica. */
 export class DaemonGateway {
-  /** Messages that could not be read; their connections were closed. */
+  /** Number of unreadable messages; their connections were closed. */
   unreadableMessages = 0;
   private readonly moveReports: MoveReports;
   private readonly runRequests: RunRequestPorts = {
@@ -53,7 +53,7 @@
     this.moveReports = new MoveReports(ports.state, ports.propose);
   }
 
-  /** Takes one message. */
+  /** Handles one message. */
   receive(message: unknown, hello: Hello, connection: Connection): void {
     const parsed = daemonRequestSchema.safeParse(message);
     if (!parsed.success) {
@@ -70,12 +70,12 @@
         this.hub.acknowledge(connection, request.index, request.revision);
         break;
       default:
-        this.receiveForLeader(request, connection);
+        this.handleLeaderRequest(request, connection);
     }
   }
 
-  private receiveForLeader(request: SessionRequest, connection: Connection): void {
-    if (!this.ports.onDuty()) {
+  private handleLeaderRequest(request: SessionRequest, connection: Connection): void {
+    if (!this.ports.isActiveLeader()) {
       const notice: ControlNotice = { kind: 'not-leader', leader: this.ports.leaderName() };
       connection.send(notice);
       return;
@@ -91,10 +91,10 @@
         this.sessions.close(request.session);
         break;
       case 'move-released':
-        this.moveReports.take({ ...request, kind: 'complete-move', wallMs: this.ports.wallMs() });
+        this.moveReports.proposeReport({ ...request, kind: 'complete-move', wallMs: this.ports.wallMs() });
         break;
       case 'move-refused':
-        this.moveReports.take({ ...request, kind: 'cancel-move' });
+        this.moveReports.proposeReport({ ...request, kind: 'cancel-move' });
         break;
       default:
         void answerRunRequest(request, this.runRequests, (notice) => {
@@ -104,14 +104,18 @@
   }
 
   private watch(request: WatchRequest, hello: Hello, connection: Connection): void {
-    const applied = this.ports.applied();
-    const reason = !this.ports.current() ? 'no-leader' : request.fromIndex > applied ? 'behind' : null;
+    const appliedIndex = this.ports.appliedIndex();
+    const reason = !this.ports.canServeWatchers()
+      ? 'no-leader'
+      : request.fromIndex > appliedIndex
+        ? 'behind'
+        : null;
     if (reason !== null) {
       const notice: ControlNotice = { kind: 'watch-refused', reason };
       connection.send(notice);
       return;
     }
     const watcher = { hello, connection, scope: request.scope, index: 0, revision: 0 };
-    this.hub.add(watcher, request.fromIndex, this.ports.state(), applied);
+    this.hub.add(watcher, request.fromIndex, this.ports.state(), appliedIndex);
   }
 }
--- a/src/control/daemon-messages.ts
+++ b/src/control/daemon-messages.ts
@@ -1,4 +1,4 @@
-/** Messages between control replicas and the other daemons, as they are checked on arrival. */
+/** Messages between control replicas and other daemons, and the schemas that validate them on arrival. */
 import { z } from 'zod';
 import { socketAddressSchema } from '../model/socket-address-schema.js';
 import {
@@ -13,7 +13,7 @@
 
 const openSessionSchema = z.object({
   kind: z.literal('open-session'),
-  /** Asking again under the same id gets the same session. */
+  /** A repeated request with the same id receives the same session. */
   openId: z.string(),
   service: z.string(),
   backend: z.string(),
@@ -23,9 +23,9 @@
 const renewSessionSchema = z.object({
   kind: z.literal('renew-session'),
   session: z.number(),
-  /** The agent's clock when it sent this; comes back unchanged. */
+  /** Send time by the agent's clock; returned unchanged. */
   sentMs: z.number(),
-  /** Requests a second by shard; only shards whose rate has changed noticeably. */
+  /** Requests per second by shard, only for shards whose rate has changed noticeably. */
   load: z.array(z.tuple([z.number(), z.number()])),
 });
 
@@ -50,20 +50,20 @@
 
 const watchSchema = z.object({
   kind: z.literal('watch'),
-  /** Newest index that the daemon holds; 0 for none. */
+  /** Latest index that the daemon has; 0 for none. */
   fromIndex: z.number(),
-  /** Only what concerns this back end; null for everything. */
+  /** Limits the watch to one back end; null for the whole state. */
   scope: z.object({ service: z.string(), backend: z.string() }).nullable(),
 });
 
 const watchedSchema = z.object({
   kind: z.literal('watched'),
-  /** Newest index that the daemon has put in force. */
+  /** Latest index that the daemon has put into effect. */
   index: z.number(),
   revision: z.number(),
 });
 
-/** What an agent or router may send to control. */
+/** Schema of requests from agents and routers to control. */
 export const daemonRequestSchema = z.discriminatedUnion('kind', [
   openSessionSchema,
   renewSessionSchema,
@@ -78,16 +78,16 @@
   permitReleasedSchema,
 ]);
 
-/** What an agent or router may send to control. */
+/** Request from an agent or router to control. */
 export type DaemonRequest = z.infer<typeof daemonRequestSchema>;
-/** Asks for a session. */
+/** Request to open a session. */
 export type OpenSessionRequest = z.infer<typeof openSessionSchema>;
-/** Renews the lease of a session. */
+/** Request to renew the lease of a session. */
 export type RenewSessionRequest = z.infer<typeof renewSessionSchema>;
-/** Asks for the table and its changes. */
+/** Request for the table and its changes. */
 export type WatchRequest = z.infer<typeof watchSchema>;
 
-/** What control sends to an agent or router. */
+/** Message from control to an agent or router. */
 export type ControlNotice =
   | { readonly kind: 'not-leader'; readonly leader: string | null }
   | {
@@ -108,16 +108,16 @@
   | {
       readonly kind: 'changes';
       readonly index: number;
-      /** Index of the change before this one; a watcher of everything that lacks that one has lost something. */
+      /** Index of the previous change; an unscoped watcher that does not have it has missed a change. */
       readonly previousIndex: number;
       readonly changes: readonly WireChange[];
     }
-  /** The replica hears a leader; `index` is that of the newest change that it has published. */
+  /** Heartbeat of a replica that hears a leader; `index` is that of the latest published change. */
   | { readonly kind: 'watch-alive'; readonly index: number }
   | { readonly kind: 'watch-refused'; readonly reason: 'behind' | 'no-leader' }
   | RunNotice;
 
-/** Fields by which a notice of control is told from garbage. */
+/** Schema that distinguishes notices of control from invalid messages by their kind. */
 export const controlNoticeSchema = z.object({
   kind: z.enum([
     'not-leader',
--- a/src/control/leaving-backends.ts
+++ b/src/control/draining-backends.ts
@@ -1,30 +1,30 @@
-/** Which back ends are to be emptied: those that an operator named, and all in zones that are evacuated. */
+/** Draining back ends: those that an operator drains, and all back ends in evacuated zones. */
 import type { Change } from './changes.js';
 import type { ControlState } from './control-state.js';
 
-/** Whether the configuration names a back end in a zone. */
+/** Returns whether the configuration contains a back end in the zone. */
 export function isConfiguredZone(state: ControlState, zone: string): boolean {
   return configuredBackends(state).some((backend) => backend.zone === zone);
 }
 
-/** Whether the configuration names a back end. */
+/** Returns whether the configuration contains the back end. */
 export function isConfiguredBackend(state: ControlState, name: string): boolean {
   return configuredBackends(state).some((backend) => backend.name === name);
 }
 
-/** Brings the back ends that are to be emptied up to date; returns what has changed. */
-export function refreshLeaving(state: ControlState): Change[] {
+/** Recomputes the set of draining back ends; returns the changes. */
+export function updateDraining(state: ControlState): Change[] {
   const inEvacuatedZones = configuredBackends(state).filter(({ zone }) => state.evacuatedZones.has(zone));
-  const wanted = new Set([...state.drained, ...inEvacuatedZones.map(({ name }) => name)]);
+  const toDrain = new Set([...state.drained, ...inEvacuatedZones.map(({ name }) => name)]);
   const changes: Change[] = [];
-  for (const backend of wanted) {
+  for (const backend of toDrain) {
     if (!state.draining.has(backend)) changes.push({ kind: 'drain', backend, draining: true });
   }
   for (const backend of state.draining) {
-    if (!wanted.has(backend)) changes.push({ kind: 'drain', backend, draining: false });
+    if (!toDrain.has(backend)) changes.push({ kind: 'drain', backend, draining: false });
   }
   state.draining.clear();
-  for (const backend of wanted) state.draining.add(backend);
+  for (const backend of toDrain) state.draining.add(backend);
   return changes;
 }
 
--- a/src/control/leader-duties.ts
+++ b/src/control/leader-duties.ts
@@ -1,4 +1,4 @@
-/** What the leader does by itself: assigns shards without owner, empties leaving back ends, balances. */
+/** Periodic duties of the leader: assigns unowned shards, empties draining back ends and balances the load. */
 import type { ServiceConfiguration } from '../config/configuration.js';
 import type { ShardRow } from '../model/shard.js';
 import { planPlacement, type PlacementBackend, type PlacementPlan } from '../placement/planner.js';
@@ -9,51 +9,51 @@
 import type { LoadTable } from './load-table.js';
 import type { Proposals } from './proposals.js';
 
-/** Time in ms without a new back end after which a service that was never assigned is assigned. */
+/** Time in ms without a new back end after which the first assignment of a service is made. */
 const FIRST_ASSIGNMENT_QUIET_MS = 1_000;
 
-/** Longest time in ms that a first assignment waits for back ends that go on coming. */
-const FIRST_ASSIGNMENT_LIMIT_MS = 15_000;
+/** Maximum time in ms that a first assignment waits while new back ends keep joining. */
+const MAX_FIRST_ASSIGNMENT_WAIT_MS = 15_000;
 
-/** Moves of one service that may be under way at a time. */
+/** Maximum number of moves in flight per service. */
 const MAX_CONCURRENT_MOVES = 16;
 
-/** Pause between plans for balance, in ms; repairs and drains are planned whenever something has changed. */
+/** Interval between balancing plans, in ms; repairs and drains are planned after every change. */
 const BALANCE_INTERVAL_MS = 1_000;
 
 /**
- * Time in ms after which a run leaves the other services to the next one: a new leader that planned all of them at
- * once would keep its heartbeats waiting for longer than the election timeout.
+ * Time in ms after which a run leaves the remaining services to the next run. A new leader that planned all services
+ * at once would delay its heartbeats beyond the election timeout.
  */
 const RUN_BUDGET_MS = 20;
 
 /**
- * Shards that one command assigns, so that applying and publishing it stays short on every replica; the next plan
- * goes on with the others.
+ * Maximum number of shards assigned by one command, so that applying and publishing it takes little time on every
+ * replica; the next plan continues with the remaining shards.
  */
-const MAX_ASSIGNMENTS = 1_000;
+const MAX_ASSIGNMENTS_PER_COMMAND = 1_000;
 
 const MS_PER_MINUTE = 60_000;
 
 interface ServiceProgress {
   firstSessionMs: number | null;
-  /** Back ends that were there when one last came. */
-  backendsSeen: number;
+  /** Number of live back ends at the previous run. */
+  lastBackendCount: number;
   lastJoinMs: number;
-  /** Moves for balance that may be started now; grows with time up to a minute's worth. */
+  /** Number of balancing moves that may be started now; refilled over time up to the limit per minute. */
   moveAllowance: number;
-  allowanceMs: number;
-  proposalUnderWay: boolean;
-  /** Whether something has changed since the last plan. */
+  allowanceRefilledMs: number;
+  proposalInFlight: boolean;
+  /** Whether the state has changed since the last plan. */
   changed: boolean;
   balanceDueMs: number;
 }
 
-/** The planning loop of a leader. */
+/** Planning loop of the leader. */
 export class LeaderDuties {
   private readonly progress = new Map<string, ServiceProgress>();
   private readonly policies = new PolicyTable();
-  /** Service after which the next run goes on. */
+  /** Last service planned; the next run continues after it. */
   private lastPlanned = '';
   private readonly problems = new Map<string, string>();
 
@@ -64,19 +64,19 @@
     private readonly clockMs: () => number,
   ) {}
 
-  /** This replica has become leader. */
+  /** Resets the planning state when this replica becomes the leader. */
   startLeading(): void {
     this.progress.clear();
     this.loads.clear();
   }
 
-  /** Why the policy of a service could not be followed in its last plan; null when it was. */
+  /** Returns the reason why the last plan of a service could not follow its policy; null when it did. */
   policyProblem(service: string): string | null {
     return this.problems.get(service) ?? null;
   }
 
-  /** The state has changed: the services concerned are planned anew with the next run. */
-  noteChanges(changes: readonly Change[]): void {
+  /** Marks the services affected by changes of the state for planning in the next run. */
+  recordChanges(changes: readonly Change[]): void {
     for (const change of changes) {
       if (change.kind === 'crash-records') continue;
       if (change.kind === 'configuration' || change.kind === 'drain') {
@@ -89,14 +89,14 @@
     }
   }
 
-  /** Plans the services that are due, in turn, within the budget of one run, and proposes what follows. */
+  /** Plans the services that are due in round-robin order within the time budget of one run, and proposes the plans. */
   run(nowMs: number): void {
     const { services } = this.state().configuration.document;
-    for (const name of inTurn(Object.keys(services), this.lastPlanned)) {
+    for (const name of roundRobinOrder(Object.keys(services), this.lastPlanned)) {
       const service = services[name];
       const progress = this.progressOf(name, nowMs);
       const isDue = progress.changed || nowMs >= progress.balanceDueMs;
-      if (service === undefined || !isDue || progress.proposalUnderWay) continue;
+      if (service === undefined || !isDue || progress.proposalInFlight) continue;
       this.lastPlanned = name;
       this.planService(name, service, progress, nowMs);
       if (this.clockMs() - nowMs >= RUN_BUDGET_MS) return;
@@ -111,57 +111,57 @@
   ): void {
     const backends = liveBackends(this.state(), name, service);
     const rows = this.state().shards.get(name)?.rows ?? [];
-    if (backends.length === 0 || !mayPlan(progress, service, backends, rows, nowMs)) return;
-    const balances = nowMs >= progress.balanceDueMs;
-    if (balances) progress.balanceDueMs = nowMs + BALANCE_INTERVAL_MS;
+    if (backends.length === 0 || !isReadyToPlan(progress, service, backends, rows, nowMs)) return;
+    const includesBalancing = nowMs >= progress.balanceDueMs;
+    if (includesBalancing) progress.balanceDueMs = nowMs + BALANCE_INTERVAL_MS;
     progress.changed = false;
     refillAllowance(progress, service.placement.maxMovesPerMinute, nowMs);
-    const underWay = rows.filter((row) => row.movingTo !== null).length;
-    const freeMoves = Math.max(0, MAX_CONCURRENT_MOVES - underWay);
+    const movesInFlight = rows.filter((row) => row.movingTo !== null).length;
+    const availableMoves = Math.max(0, MAX_CONCURRENT_MOVES - movesInFlight);
     const plan = planPlacement({
       rows,
       backends,
       loadOf: (shard) => this.loads.loadOf(name, shard),
       toleratedImbalance: service.placement.toleratedImbalance,
-      maxAssignments: MAX_ASSIGNMENTS,
+      maxAssignments: MAX_ASSIGNMENTS_PER_COMMAND,
       policy: this.policies.policyOf(name, service),
-      maxBalanceMoves: balances ? Math.min(freeMoves, Math.floor(progress.moveAllowance)) : 0,
+      maxBalanceMoves: includesBalancing ? Math.min(availableMoves, Math.floor(progress.moveAllowance)) : 0,
     });
     if (plan.policyProblem === null) this.problems.delete(name);
     else this.problems.set(name, plan.policyProblem);
-    void this.proposePlan(name, plan, freeMoves, progress);
+    void this.proposePlan(name, plan, availableMoves, progress);
   }
 
   private async proposePlan(
     service: string,
     plan: PlacementPlan,
-    freeMoves: number,
+    availableMoves: number,
     progress: ServiceProgress,
   ): Promise<void> {
-    const moves = plan.moves.slice(0, freeMoves);
+    const moves = plan.moves.slice(0, availableMoves);
     const commands: ControlCommand[] = [];
     if (plan.assignments.length > 0) {
       commands.push({ kind: 'assign', service, assignments: groupByBackend(plan.assignments) });
     }
     if (moves.length > 0) commands.push({ kind: 'begin-moves', service, moves });
     if (commands.length === 0) return;
-    progress.proposalUnderWay = true;
+    progress.proposalInFlight = true;
     progress.moveAllowance -= moves.length;
     const results = await Promise.all(commands.map(async (command) => await this.proposals.propose(command)));
-    progress.proposalUnderWay = false;
+    progress.proposalInFlight = false;
     if (results.some((result) => result.err)) progress.changed = true;
   }
 
   private progressOf(name: string, nowMs: number): ServiceProgress {
-    const known = this.progress.get(name);
-    if (known !== undefined) return known;
+    const existing = this.progress.get(name);
+    if (existing !== undefined) return existing;
     const progress: ServiceProgress = {
       firstSessionMs: null,
-      backendsSeen: 0,
+      lastBackendCount: 0,
       lastJoinMs: nowMs,
       moveAllowance: 0,
-      allowanceMs: nowMs,
-      proposalUnderWay: false,
+      allowanceRefilledMs: nowMs,
+      proposalInFlight: false,
       changed: true,
       balanceDueMs: nowMs + BALANCE_INTERVAL_MS,
     };
@@ -170,17 +170,17 @@
   }
 }
 
-/** Names in order, those after `last` first. */
-function inTurn(names: readonly string[], last: string): string[] {
+/** Returns the sorted names, starting with those after `last`. */
+function roundRobinOrder(names: readonly string[], last: string): string[] {
   const sorted = [...names].sort();
   return [...sorted.filter((name) => name > last), ...sorted.filter((name) => name <= last)];
 }
 
 /**
- * A first assignment waits for all back ends, or until no more come: what goes to the first few would have to be
- * moved to the others one by one.
+ * A first assignment waits until all back ends have joined or no more are joining: shards assigned to the first few
+ * would have to be moved to the others one by one.
  */
-function mayPlan(
+function isReadyToPlan(
   progress: ServiceProgress,
   service: ServiceConfiguration,
   backends: readonly PlacementBackend[],
@@ -188,19 +188,19 @@
   nowMs: number,
 ): boolean {
   progress.firstSessionMs ??= nowMs;
-  if (backends.length > progress.backendsSeen) progress.lastJoinMs = nowMs;
-  progress.backendsSeen = backends.length;
-  const neverOwned = rows.every((row) => row.epoch === 0);
-  const allHere = backends.length >= Object.keys(service.backends).length;
-  const quiet = nowMs - progress.lastJoinMs >= FIRST_ASSIGNMENT_QUIET_MS;
-  const limitPassed = nowMs - progress.firstSessionMs >= FIRST_ASSIGNMENT_LIMIT_MS;
-  return !neverOwned || allHere || quiet || limitPassed;
+  if (backends.length > progress.lastBackendCount) progress.lastJoinMs = nowMs;
+  progress.lastBackendCount = backends.length;
+  const isFirstAssignment = rows.every((row) => row.epoch === 0);
+  const allJoined = backends.length >= Object.keys(service.backends).length;
+  const noRecentJoin = nowMs - progress.lastJoinMs >= FIRST_ASSIGNMENT_QUIET_MS;
+  const maxWaitPassed = nowMs - progress.firstSessionMs >= MAX_FIRST_ASSIGNMENT_WAIT_MS;
+  return !isFirstAssignment || allJoined || noRecentJoin || maxWaitPassed;
 }
 
 function refillAllowance(progress: ServiceProgress, perMinute: number, nowMs: number): void {
-  const gained = ((nowMs - progress.allowanceMs) / MS_PER_MINUTE) * perMinute;
+  const gained = ((nowMs - progress.allowanceRefilledMs) / MS_PER_MINUTE) * perMinute;
   progress.moveAllowance = Math.min(perMinute, progress.moveAllowance + gained);
-  progress.allowanceMs = nowMs;
+  progress.allowanceRefilledMs = nowMs;
 }
 
 function liveBackends(state: ControlState, name: string, service: ServiceConfiguration): PlacementBackend[] {
@@ -208,7 +208,7 @@
   for (const session of state.sessions.values()) {
     if (session.service !== name) continue;
     const configured = service.backends[session.backend];
-    // A back end that was taken out of the configuration is emptied like one that is leaving.
+    // A back end that was removed from the configuration is emptied like a draining one.
     const draining = configured === undefined || state.draining.has(session.backend);
     backends.push({ name: session.backend, zone: configured?.zone ?? '', draining });
   }
--- a/src/control/membership-admission.ts
+++ b/src/control/membership-admission.ts
@@ -1,24 +1,24 @@
-/** The leader's part in making newcomers members: remembers who asked and takes the next step for one of them. */
+/** Admission of new members on the leader: stores join requests and proposes the next membership change for one. */
 import { nextMembership } from '../consensus/join-core.js';
 import type { Replica } from '../consensus/replica.js';
 import { replicaName, type ReplicaId } from '../consensus/raft-types.js';
 
-/** Replicas that asked to become members. */
+/** Replicas that requested to become members. */
 export class MembershipAdmission {
   private readonly candidates = new Map<string, ReplicaId>();
 
   constructor(
-    /** Time in ms without an answer after which a member counts as gone. */
-    private readonly inactiveMs: number,
+    /** Time in ms without an answer after which a member counts as inactive. */
+    private readonly inactivityTimeoutMs: number,
   ) {}
 
-  /** A replica asks to become a member. */
+  /** Stores the request of a replica to become a member. */
   request(id: ReplicaId): void {
     this.candidates.set(replicaName(id), id);
   }
 
-  /** Takes the next step for the first candidate that there is one for. */
-  advance(replica: Replica, nowMs: number): void {
+  /** Submits the next membership change of the first candidate for which one is possible. */
+  submitNextChange(replica: Replica, nowMs: number): void {
     const { core } = replica;
     for (const [name, id] of this.candidates) {
       if (core.membership.voters.includes(id)) this.candidates.delete(name);
@@ -35,7 +35,7 @@
   }
 
   private isActive(replica: Replica, peer: ReplicaId, nowMs: number): boolean {
-    const answeredMs = replica.core.peerProgress(peer)?.lastAnswerMs ?? -Infinity;
-    return peer === replica.id || nowMs - answeredMs < this.inactiveMs;
+    const lastAnswerMs = replica.core.peerProgress(peer)?.lastAnswerMs ?? -Infinity;
+    return peer === replica.id || nowMs - lastAnswerMs < this.inactivityTimeoutMs;
   }
 }
--- a/src/control/operator-api.ts
+++ b/src/control/operator-api.ts
@@ -1,4 +1,4 @@
-/** The operators' HTTP interface of a control replica; see docs/OPERATIONS.md. Errors are problem+json. */
+/** HTTP API of a control replica for operators; see docs/OPERATIONS.md. Errors are problem+json. */
 import 'reflect-metadata';
 import {
   Body,
@@ -36,8 +36,8 @@
 
 const BEARER = 'Bearer ';
 
-/** Largest request body that operators may send, in bytes. */
-const BODY_LIMIT = 16 * 1024 * 1024;
+/** Maximum size of a request body, in bytes. */
+const MAX_BODY_BYTES = 16 * 1024 * 1024;
 
 const submissionSchema = z.strictObject({
   submissionId: z.string().min(1).max(200),
@@ -45,7 +45,7 @@
   document: configurationSchema,
 });
 
-/** Codes of problems, and the HTTP status that each comes with. */
+/** Problem codes and their HTTP status. */
 const PROBLEM_STATUS = {
   invalid: 400,
   unauthorized: 401,
@@ -69,8 +69,9 @@
 
   canActivate(context: ExecutionContext): boolean {
     const { headers } = context.switchToHttp().getRequest<FastifyRequest>();
-    const given = headers.authorization ?? '';
-    if (given.startsWith(BEARER) && sameSecret(given.slice(BEARER.length), this.token)) return true;
+    const authorization = headers.authorization ?? '';
+    if (authorization.startsWith(BEARER) && sameSecret(authorization.slice(BEARER.length), this.token))
+      return true;
     throw new Problem('unauthorized', 'the shared token is missing or wrong');
   }
 }
@@ -188,18 +189,18 @@
 @Module({})
 class OperatorModule {}
 
-/** A running operator interface. */
+/** A running operator API. */
 export class OperatorApi {
   private constructor(private readonly application: NestFastifyApplication) {}
 
-  /** Starts to listen. */
+  /** Starts listening. */
   static async start(
     node: ControlNode,
     token: string,
     registry: Registry,
     address: SocketAddress,
   ): Promise<Result<OperatorApi, string>> {
-    const notReady = (): string | null => (node.current ? null : 'no leader is known');
+    const notReady = (): string | null => (node.isCurrent ? null : 'no leader is known');
     const root = {
       module: OperatorModule,
       imports: [managementModule({ registry, notReady })],
@@ -209,9 +210,9 @@
         { provide: TOKEN, useValue: token },
       ],
     };
-    const adapter = new FastifyAdapter({ bodyLimit: BODY_LIMIT });
+    const adapter = new FastifyAdapter({ bodyLimit: MAX_BODY_BYTES });
     const application = await NestFactory.create<NestFastifyApplication>(root, adapter, { logger: false });
-    answerProblemsAsJson(adapter);
+    setProblemContentType(adapter);
     try {
       await application.listen(address.port, address.host);
     } catch (error) {
@@ -227,11 +228,11 @@
   }
 }
 
-const FIRST_ERROR_STATUS = 400;
+const MIN_ERROR_STATUS = 400;
 
-function answerProblemsAsJson(adapter: FastifyAdapter): void {
+function setProblemContentType(adapter: FastifyAdapter): void {
   adapter.getInstance().addHook('onSend', (_request: FastifyRequest, reply: FastifyReply, payload, done) => {
-    if (reply.statusCode >= FIRST_ERROR_STATUS) void reply.header('content-type', 'application/problem+json');
+    if (reply.statusCode >= MIN_ERROR_STATUS) void reply.header('content-type', 'application/problem+json');
     done(null, payload);
   });
 }
--- a/src/control/peer-messages.ts
+++ b/src/control/peer-messages.ts
@@ -1,4 +1,4 @@
-/** Checks of messages between control replicas on arrival, so that garbage cannot reach the core. */
+/** Validation of messages between control replicas on arrival, so that invalid data cannot reach the consensus core. */
 import * as z from 'zod/mini';
 import type { PeerMessage } from './peer-network.js';
 
@@ -53,8 +53,8 @@
   z.object({ kind: z.literal('join-request'), id: z.string() }),
 ]);
 
-/** The message, or null when it is not one that replicas send. */
-export function readPeerMessage(message: unknown): PeerMessage | null {
+/** Returns the validated message, or null when it is invalid. */
+export function parsePeerMessage(message: unknown): PeerMessage | null {
   const parsed = peerMessageSchema.safeParse(message);
   return parsed.success ? (parsed.data as PeerMessage) : null;
 }
--- a/src/control/peer-network.ts
+++ b/src/control/peer-network.ts
@@ -1,20 +1,20 @@
-/** Connections from this control replica to the others. */
+/** Connections from this control replica to its peers. */
 import type { NamedAddress } from '../config/daemon-settings.js';
 import { RaftFrames } from '../consensus/raft-frames.js';
 import { replicaName, type RaftMessage } from '../consensus/raft-types.js';
 import type { FormationMessage } from '../consensus/formation-core.js';
 import type { Client, ClientIdentity, Runtime, Traffic } from '../runtime/runtime.js';
 
-/** Asks the leader to make the sender a member. */
+/** Request to the leader to add the sender as a member. */
 export interface JoinRequest {
   readonly kind: 'join-request';
   readonly id: string;
 }
 
-/** Everything that control replicas send each other. */
+/** Message between control replicas. */
 export type PeerMessage = RaftMessage | FormationMessage | JoinRequest;
 
-/** Dials every other member and sends by name. */
+/** Dials every other member and sends messages by member name. */
 export class PeerNetwork {
   private readonly clients = new Map<string, Client>();
   private readonly frames = new RaftFrames();
@@ -22,11 +22,11 @@
   constructor(runtime: Runtime, identity: ClientIdentity, members: readonly NamedAddress[]) {
     for (const { name, address } of members) {
       if (name === identity.name) continue;
-      this.clients.set(name, runtime.dial(address, identity, IGNORE_ANSWERS));
+      this.clients.set(name, runtime.dial(address, identity, IGNORE_INCOMING));
     }
   }
 
-  /** Sends a message of the log to its addressee, if that is connected. */
+  /** Sends a Raft message to its receiver, if it is connected. */
   send(message: RaftMessage): void {
     this.clients.get(replicaName(message.to))?.sendEncoded(this.frames.encode(message));
   }
@@ -41,7 +41,7 @@
     for (const client of this.clients.values()) client.send(message);
   }
 
-  /** Bytes sent and received by the connections that this replica dialed. */
+  /** Returns the bytes sent and received over the connections that this replica dialed. */
   traffic(): Traffic {
     const total = { bytesSent: 0, bytesReceived: 0 };
     for (const client of this.clients.values()) {
@@ -58,8 +58,8 @@
   }
 }
 
-/** Replicas answer over the connections that they dial themselves. */
-const IGNORE_ANSWERS = {
+/** Incoming messages are ignored, since replicas answer over the connections that they dial themselves. */
+const IGNORE_INCOMING = {
   onOpen: () => undefined,
   onMessage: () => undefined,
   onClose: () => undefined,
--- a/src/control/proposal-times.ts
+++ b/src/control/proposal-times.ts
@@ -1,30 +1,30 @@
-/** Where the time of a proposal goes, from its arrival at the leader until it is applied there. */
+/** Latency breakdown of a proposal, from its arrival at the leader until it is applied there. */
 
-/** When a proposal reached each step, in ms of one clock. */
+/** Times at which a proposal reached each stage, in ms of one clock. */
 export interface ProposalTimes {
   readonly proposedMs: number;
-  /** Taken from the queue of events; null while it waits there. */
-  takenMs: number | null;
-  /** Durable on the leader's own disk; null while it is not. */
+  /** Removed from the event queue; null while it is queued. */
+  dequeuedMs: number | null;
+  /** Durable on the leader's own disk; null before that. */
   syncedMs: number | null;
 }
 
-/** Time that a proposal spent in each step, in ms; what a step after the last one reached takes is 0. */
+/** Time that a proposal spent in each stage, in ms; 0 for stages after the last one reached. */
 export interface ProposalSteps {
-  /** Waiting for the batch of events before it. */
+  /** In the queue, waiting for the previous batch of events. */
   readonly queueMs: number;
-  /** On the leader's own disk. */
+  /** Being written to the leader's own disk. */
   readonly syncMs: number;
-  /** Until a quorum had it and it was applied; until it was given up, where it was not. */
+  /** Until it was committed by a quorum and applied, or until it was abandoned. */
   readonly quorumMs: number;
 }
 
-/** The steps of a proposal that ended at `endMs`. */
+/** Returns the time spent in each stage by a proposal that ended at `endMs`. */
 export function proposalSteps(
-  { proposedMs, takenMs, syncedMs }: ProposalTimes,
+  { proposedMs, dequeuedMs, syncedMs }: ProposalTimes,
   endMs: number,
 ): ProposalSteps {
-  const taken = takenMs ?? endMs;
+  const dequeued = dequeuedMs ?? endMs;
   const synced = syncedMs ?? endMs;
-  return { queueMs: taken - proposedMs, syncMs: synced - taken, quorumMs: endMs - synced };
+  return { queueMs: dequeued - proposedMs, syncMs: synced - dequeued, quorumMs: endMs - synced };
 }
--- a/src/control/proposals.ts
+++ b/src/control/proposals.ts
@@ -1,36 +1,36 @@
-/** Commands that were proposed here and wait to be committed. */
+/** Commands proposed on this replica that are waiting to be committed. */
 import { Err, Ok, type Result } from '../result.js';
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
 import type { CommandOutcome, ControlCommand } from './commands.js';
 import { proposalSteps, type ProposalSteps, type ProposalTimes } from './proposal-times.js';
 
-/** Time in ms after which the proposer is told that the outcome is unknown. */
+/** Time in ms after which a proposal is reported as having an unknown outcome. */
 const PROPOSAL_TIMEOUT_MS = 5_000;
 
-/** Why a proposal has no outcome. Only after `not-leader` is it certain that the command will not be applied. */
+/** Reason why a proposal has no outcome. Only `not-leader` guarantees that the command will not be applied. */
 export type ProposalError = { readonly kind: 'not-leader' } | { readonly kind: 'outcome-unknown' };
 
-interface Pending<Outcome> {
+interface PendingProposal<Outcome> {
   readonly resolve: (result: Result<Outcome, ProposalError>) => void;
   readonly cancelTimer: CancelTimer;
   readonly times: ProposalTimes;
 }
 
-/** Joins proposals to their outcomes, whatever the state machine that the commands are for. */
+/** Matches proposals with their outcomes, independently of the state machine. */
 export class Proposals<Command = ControlCommand, Outcome = CommandOutcome> {
-  private readonly pending = new Map<string, Pending<Outcome>>();
+  private readonly pending = new Map<string, PendingProposal<Outcome>>();
 
   constructor(
     private readonly runtime: Runtime,
     private readonly submit: (proposalId: string, command: Command) => void,
-    /** A proposal has ended, with or without an outcome. */
+    /** Called when a proposal has ended, with or without an outcome. */
     private readonly onEnd: (command: Command, steps: ProposalSteps) => void = () => undefined,
   ) {}
 
-  /** Proposes a command and waits for its outcome, for so many ms. */
+  /** Proposes a command and waits at most `timeoutMs` for its outcome. */
   async propose(command: Command, timeoutMs = PROPOSAL_TIMEOUT_MS): Promise<Result<Outcome, ProposalError>> {
     const proposalId = this.runtime.randomId();
-    const times: ProposalTimes = { proposedMs: this.runtime.nowMs(), takenMs: null, syncedMs: null };
+    const times: ProposalTimes = { proposedMs: this.runtime.nowMs(), dequeuedMs: null, syncedMs: null };
     const outcome = await new Promise<Result<Outcome, ProposalError>>((resolve) => {
       const cancelTimer = this.runtime.after(timeoutMs, () => {
         this.settle(proposalId, Err({ kind: 'outcome-unknown' }));
@@ -42,26 +42,26 @@
     return outcome;
   }
 
-  /** Proposals were taken from the queue at a time, and are durable on this replica's disk now. */
-  synced(proposalIds: readonly string[], takenMs: number): void {
+  /** Records that proposals, dequeued at the given time, are now durable on this replica's disk. */
+  synced(proposalIds: readonly string[], dequeuedMs: number): void {
     const syncedMs = this.runtime.nowMs();
     for (const proposalId of proposalIds) {
       const times = this.pending.get(proposalId)?.times;
-      if (times !== undefined) Object.assign(times, { takenMs, syncedMs });
+      if (times !== undefined) Object.assign(times, { dequeuedMs, syncedMs });
     }
   }
 
-  /** The command was committed and applied here. */
+  /** Settles a proposal whose command was committed and applied on this replica. */
   applied(proposalId: string, outcome: Outcome): void {
     this.settle(proposalId, Ok(outcome));
   }
 
-  /** The command never entered the log. */
+  /** Settles a proposal whose command was not appended to the log. */
   dropped(proposalId: string): void {
     this.settle(proposalId, Err({ kind: 'not-leader' }));
   }
 
-  /** This replica is no longer leader; what waits may or may not be committed by the next one. */
+  /** Settles all pending proposals when this replica is no longer leader: the next leader may still commit them. */
   abandonAll(): void {
     for (const proposalId of [...this.pending.keys()]) {
       this.settle(proposalId, Err({ kind: 'outcome-unknown' }));
--- a/src/control/replicated-state.ts
+++ b/src/control/replicated-state.ts
@@ -1,4 +1,4 @@
-/** Joins the replicated log to the state machine: applies entries, answers proposals, publishes changes. */
+/** Connects the replicated log to the state machine: applies entries, settles proposals and publishes changes. */
 import type { StateMachine } from '../consensus/replica.js';
 import type { LogEntry } from '../consensus/raft-types.js';
 import type { Change } from './changes.js';
@@ -8,9 +8,9 @@
 import { decodeState, encodeState, type StateSnapshot } from './state-snapshot.js';
 import type { WatchHub } from './watch-hub.js';
 
-/** The state of one replica. */
+/** State of one replica. */
 export class ReplicatedState implements StateMachine {
-  private current: ControlState = emptyControlState();
+  private currentState: ControlState = emptyControlState();
 
   constructor(
     private readonly hub: WatchHub,
@@ -19,30 +19,30 @@
     private readonly onApplied?: (entry: LogEntry) => void,
   ) {}
 
-  /** The present state; not to be changed by readers. */
+  /** The current state; readers must not modify it. */
   get state(): ControlState {
-    return this.current;
+    return this.currentState;
   }
 
-  /** Applies one committed entry and publishes what it changed. */
+  /** Applies one committed entry and publishes its changes. */
   apply(entry: LogEntry): void {
     this.onApplied?.(entry);
     if (entry.payload.kind !== 'command') return;
     const command = entry.payload.command as ControlCommand;
-    const { outcome, changes } = applyCommand(this.current, command, entry.index);
+    const { outcome, changes } = applyCommand(this.currentState, command, entry.index);
     this.hub.publish(entry.index, changes);
     this.onChanges(changes);
     this.onOutcome(entry.payload.proposalId, outcome);
   }
 
-  /** The state as columns, for the snapshot file. */
+  /** Returns the state in column format for the snapshot file. */
   snapshot(): unknown {
-    return encodeState(this.current);
+    return encodeState(this.currentState);
   }
 
-  /** Takes over a snapshot; null stands for the empty state. */
+  /** Replaces the state by a snapshot; null is the empty state. */
   restore(data: unknown, index: number): void {
-    this.current = data === null ? emptyControlState() : decodeState(data as StateSnapshot);
-    this.hub.reset(this.current, index);
+    this.currentState = data === null ? emptyControlState() : decodeState(data as StateSnapshot);
+    this.hub.reset(this.currentState, index);
   }
 }
--- a/src/control/service-shards.ts
+++ b/src/control/service-shards.ts
@@ -1,54 +1,57 @@
-/** Rows of one service, and which of them concern a back end: recovery costs what was lost, not the whole table. */
+/**
+ * Shard rows of one service with an index by back end, so that the cost of a recovery depends on the number of lost
+ * shards and not on the size of the table.
+ */
 import type { ShardRow } from '../model/shard.js';
 
-/** Rows of one service. */
+/** Shard rows of one service. */
 export class ServiceShards {
   private readonly present: ShardRow[];
-  private readonly concerned = new Map<string, Set<number>>();
+  private readonly shardsByBackend = new Map<string, Set<number>>();
 
   constructor(rows: readonly ShardRow[]) {
     this.present = [...rows];
-    for (const row of rows) this.note(row);
+    for (const row of rows) this.addToIndex(row);
   }
 
-  /** All rows; a row's place is its shard number. */
+  /** All rows, indexed by shard number. */
   get rows(): readonly ShardRow[] {
     return this.present;
   }
 
-  /** Row of a shard. */
+  /** Returns the row of a shard. */
   get(shard: number): ShardRow | undefined {
     return this.present[shard];
   }
 
   /** Replaces a row. */
   set(row: ShardRow): void {
-    const earlier = this.present[row.shard];
+    const previous = this.present[row.shard];
     this.present[row.shard] = row;
-    if (earlier !== undefined) this.forget(earlier, row);
-    this.note(row);
+    if (previous !== undefined) this.forget(previous, row);
+    this.addToIndex(row);
   }
 
-  /** Shards that a back end owns or that are moving to it, in order. */
-  concerning(backend: string): readonly number[] {
-    return [...(this.concerned.get(backend) ?? [])].sort((left, right) => left - right);
+  /** Returns the shards that a back end owns or that are moving to it, in ascending order. */
+  shardsInvolving(backend: string): readonly number[] {
+    return [...(this.shardsByBackend.get(backend) ?? [])].sort((left, right) => left - right);
   }
 
-  private note({ shard, owner, movingTo }: ShardRow): void {
+  private addToIndex({ shard, owner, movingTo }: ShardRow): void {
     for (const backend of [owner, movingTo]) {
       if (backend === null) continue;
-      const shards = this.concerned.get(backend) ?? new Set();
-      this.concerned.set(backend, shards);
+      const shards = this.shardsByBackend.get(backend) ?? new Set();
+      this.shardsByBackend.set(backend, shards);
       shards.add(shard);
     }
   }
 
-  private forget(earlier: ShardRow, next: ShardRow): void {
-    for (const backend of [earlier.owner, earlier.movingTo]) {
+  private forget(previous: ShardRow, next: ShardRow): void {
+    for (const backend of [previous.owner, previous.movingTo]) {
       if (backend === null || backend === next.owner || backend === next.movingTo) continue;
-      const shards = this.concerned.get(backend);
-      shards?.delete(earlier.shard);
-      if (shards?.size === 0) this.concerned.delete(backend);
+      const shards = this.shardsByBackend.get(backend);
+      shards?.delete(previous.shard);
+      if (shards?.size === 0) this.shardsByBackend.delete(backend);
     }
   }
 }
--- a/src/control/session-service.ts
+++ b/src/control/session-service.ts
@@ -1,9 +1,9 @@
 /**
- * The leader's side of sessions: opens them, renews their leases and ends those that ran out.
+ * Sessions on the leader: opens them, renews their leases and closes those whose lease expired.
  *
- * A renewal is answered only after a quorum has confirmed that this replica was still leader when the
- * renewal arrived. A newer leader was therefore elected later, and the term that it waits covers the
- * renewed lease.
+ * A renewal is answered only after a quorum has confirmed that this replica was still the leader when the
+ * renewal arrived. Any newer leader was therefore elected later, and the full lease term that it waits covers
+ * the renewed lease.
  */
 import type { Connection } from '../runtime/runtime.js';
 import type { LeaseTable } from './lease-table.js';
@@ -14,19 +14,20 @@
 import { TokenBucket } from './token-bucket.js';
 
 /**
- * Sessions that one run of the leader's duties ends. Many that run out together mostly mean that the leader or the
- * network was late, and every lost session costs work everywhere; a renewal that comes meanwhile still counts.
+ * Maximum number of sessions that one run of the leader's duties expires. When many leases expire together, the cause
+ * is mostly a delay of the leader or the network, and every closed session causes work on all daemons; a renewal that
+ * arrives before the next run still counts.
  */
-const SESSIONS_ENDED_IN_A_RUN = 8;
+const MAX_EXPIRIES_PER_RUN = 8;
 
-/** Sessions that may end by time one after the other: more than the back ends of a zone at the size designed for. */
-const EXPIRY_BURST = 64;
+/** Maximum burst of session expiries: more than the number of back ends in a zone at the designed scale. */
+const MAX_EXPIRY_BURST = 64;
 
 /**
- * Sessions a second that may end by time beyond the burst. Each one costs work at every router, and when that makes
- * the next renewals late this is what ends the circle.
+ * Maximum number of session expiries per second beyond the burst. Each expiry causes work on every router, which may
+ * delay further renewals; this limit breaks that feedback loop.
  */
-const EXPIRIES_PER_SECOND = 12;
+const MAX_EXPIRIES_PER_SECOND = 12;
 
 interface PendingRenewal {
   readonly request: RenewSessionRequest;
@@ -34,11 +35,11 @@
   readonly connection: Connection;
 }
 
-/** What the service needs of its replica. */
+/** Dependencies of the service on its replica. */
 export interface SessionPorts {
   readonly state: () => ControlState;
   readonly confirmLeadership: (requestId: number) => void;
-  /** Time that certainly has passed, in ms: leases of others end by it. */
+  /** Clock in ms that never runs ahead of the time that has passed; leases of other processes expire by it. */
   readonly steadyMs: () => number;
   readonly wallMs: () => number;
 }
@@ -53,11 +54,11 @@
 /** Sessions of one leader. */
 export class SessionService {
   readonly counters: SessionCounters = { renewals: 0, opened: 0, expired: 0 };
-  private readonly closing = new Set<number>();
+  private readonly closingSessions = new Set<number>();
   private batches = new Map<number, PendingRenewal[]>();
-  private openBatch: number | null = null;
+  private openBatchId: number | null = null;
   private nextRequestId = 1;
-  private readonly expiries: TokenBucket;
+  private readonly expiryBudget: TokenBucket;
 
   constructor(
     private readonly termMs: number,
@@ -66,14 +67,14 @@
     private readonly proposals: Proposals,
     private readonly loads: LoadTable,
   ) {
-    this.expiries = new TokenBucket(EXPIRY_BURST, EXPIRIES_PER_SECOND, ports.steadyMs());
+    this.expiryBudget = new TokenBucket(MAX_EXPIRY_BURST, MAX_EXPIRIES_PER_SECOND, ports.steadyMs());
   }
 
-  /** This replica has become leader and its state is current. */
+  /** Resets the service when this replica has become the leader and its state is current. */
   startLeading(): void {
-    this.closing.clear();
+    this.closingSessions.clear();
     this.batches.clear();
-    this.openBatch = null;
+    this.openBatchId = null;
     this.leases.restart(this.ports.state().sessions.keys(), this.ports.steadyMs());
   }
 
@@ -82,15 +83,15 @@
     const { openId, service, backend, agentAddress } = request;
     const configured = this.ports.state().configuration.document.services[service]?.backends[backend];
     if (configured === undefined) {
-      // Said without an entry of the log: agents of back ends that are not configured yet ask every second.
+      // Refused without a log entry, since agents of back ends that are not configured yet repeat the request every second.
       const detail = `no back end ${backend} in service ${service}`;
       notify(connection, { kind: 'session-refused', openId, detail });
       return;
     }
-    const known = sessionOfBackend(this.ports.state(), backend);
-    if (known?.openId === openId && !this.closing.has(known.id)) {
-      // Asked again because the answer was late. The lease counts from the first request, so it is not renewed.
-      notify(connection, { kind: 'session-opened', openId, session: known.id, termMs: this.termMs });
+    const existing = sessionOfBackend(this.ports.state(), backend);
+    if (existing?.openId === openId && !this.closingSessions.has(existing.id)) {
+      // Repeated request after a delayed answer. The lease counts from the first request, so it is not renewed.
+      notify(connection, { kind: 'session-opened', openId, session: existing.id, termMs: this.termMs });
       return;
     }
     const receivedMs = this.ports.steadyMs();
@@ -113,8 +114,8 @@
       return;
     }
     const { session } = result.val;
-    if (this.closing.has(session)) {
-      notify(connection, { kind: 'session-refused', openId, detail: 'the session is being ended' });
+    if (this.closingSessions.has(session)) {
+      notify(connection, { kind: 'session-refused', openId, detail: 'the session is being closed' });
       return;
     }
     this.leases.renew(session, receivedMs);
@@ -122,65 +123,65 @@
     notify(connection, { kind: 'session-opened', openId, session, termMs: this.termMs });
   }
 
-  /** Takes a renewal; it is answered when leadership has been confirmed. */
+  /** Accepts a renewal; it is answered once leadership has been confirmed. */
   renew(request: RenewSessionRequest, connection: Connection): void {
     const { session } = request;
-    if (!this.ports.state().sessions.has(session) || this.closing.has(session)) {
+    if (!this.ports.state().sessions.has(session) || this.closingSessions.has(session)) {
       notify(connection, { kind: 'session-ended', session });
       return;
     }
-    this.takeLoad(request);
-    this.batch().push({ request, receivedMs: this.ports.steadyMs(), connection });
+    this.recordLoad(request);
+    this.currentBatch().push({ request, receivedMs: this.ports.steadyMs(), connection });
   }
 
-  /** A quorum has confirmed leadership for the renewals of one batch. */
+  /** Grants the renewals of one batch after a quorum has confirmed leadership. */
   confirmed(requestId: number): void {
     const batch = this.batches.get(requestId) ?? [];
     this.batches.delete(requestId);
-    if (this.openBatch === requestId) this.openBatch = null;
-    for (const renewal of batch) this.grant(renewal);
+    if (this.openBatchId === requestId) this.openBatchId = null;
+    for (const renewal of batch) this.grantRenewal(renewal);
   }
 
-  /** Ends a session that its agent has given up; its back end holds no grant any more. */
+  /** Closes a session that its agent gave up; its back end holds no grants any more. */
   close(session: number): void {
     if (this.ports.state().sessions.has(session)) this.propose([session]);
   }
 
-  /** Ends sessions whose lease has run out, those that are longest overdue first. */
+  /** Closes sessions whose lease has expired, longest overdue first. */
   expire(): void {
     const isOpen = (session: number): boolean => this.ports.state().sessions.has(session);
     const expired = this.leases.expired(this.ports.steadyMs());
     for (const session of expired) if (!isOpen(session)) this.leases.forget(session);
-    const open = expired.filter(isOpen).slice(0, SESSIONS_ENDED_IN_A_RUN);
-    const ended = open.slice(0, this.expiries.take(open.length, this.ports.steadyMs()));
-    if (ended.length === 0) return;
-    for (const session of ended) this.leases.forget(session);
-    this.counters.expired += ended.length;
-    this.propose(ended);
+    const open = expired.filter(isOpen).slice(0, MAX_EXPIRIES_PER_RUN);
+    const toClose = open.slice(0, this.expiryBudget.take(open.length, this.ports.steadyMs()));
+    if (toClose.length === 0) return;
+    for (const session of toClose) this.leases.forget(session);
+    this.counters.expired += toClose.length;
+    this.propose(toClose);
   }
 
-  /** Once this is proposed the sessions must never be renewed again, whatever becomes of the proposal. */
+  /** Proposes to close sessions. From then on they must never be renewed, whatever the outcome of the proposal. */
   private propose(sessions: readonly number[]): void {
-    for (const session of sessions) this.closing.add(session);
+    for (const session of sessions) this.closingSessions.add(session);
     void this.proposals.propose({ kind: 'close-sessions', sessions, wallMs: this.ports.wallMs() });
   }
 
-  /** The batch that waits for the next heartbeat round; asks for a confirmation when it is new. */
-  private batch(): PendingRenewal[] {
-    const requestId = this.openBatch ?? this.nextRequestId;
-    const known = this.batches.get(requestId);
-    if (known !== undefined) return known;
+  /** Returns the batch of the next heartbeat round; requests a leadership confirmation for a new batch. */
+  private currentBatch(): PendingRenewal[] {
+    const requestId = this.openBatchId ?? this.nextRequestId;
+    const existing = this.batches.get(requestId);
+    if (existing !== undefined) return existing;
     this.nextRequestId = requestId + 1;
-    this.openBatch = requestId;
+    this.openBatchId = requestId;
     const batch: PendingRenewal[] = [];
     this.batches.set(requestId, batch);
     this.ports.confirmLeadership(requestId);
     return batch;
   }
 
-  private grant({ request, receivedMs, connection }: PendingRenewal): void {
+  private grantRenewal({ request, receivedMs, connection }: PendingRenewal): void {
     const { session, sentMs } = request;
-    if (!this.ports.state().sessions.has(session) || this.closing.has(session)) {
+    if (!this.ports.state().sessions.has(session) || this.closingSessions.has(session)) {
       notify(connection, { kind: 'session-ended', session });
       return;
     }
@@ -189,7 +190,7 @@
     notify(connection, { kind: 'session-renewed', session, sentMs, termMs: this.termMs });
   }
 
-  private takeLoad(request: RenewSessionRequest): void {
+  private recordLoad(request: RenewSessionRequest): void {
     const service = this.ports.state().sessions.get(request.session)?.service;
     if (service !== undefined && request.load.length > 0) this.loads.report(service, request.load);
   }
--- a/src/control/state-machine.ts
+++ b/src/control/state-machine.ts
@@ -1,6 +1,6 @@
 /**
  * Applies committed commands to the replicated state. Deterministic: the same commands in the same order
- * give the same state on every replica. A command that no longer fits the state does nothing.
+ * produce the same state on every replica. A command that no longer matches the state has no effect.
  */
 import type { ConfigurationDocument, ServiceConfiguration } from '../config/configuration.js';
 import { applyCrashCommand, withdrawPermits, type CrashCommand } from '../quarantine/crash-commands.js';
@@ -19,7 +19,7 @@
   SetDrainCommand,
   SetEvacuationCommand,
 } from './commands.js';
-import { isConfiguredBackend, isConfiguredZone, refreshLeaving } from './leaving-backends.js';
+import { isConfiguredBackend, isConfiguredZone, updateDraining } from './draining-backends.js';
 import { ServiceShards } from './service-shards.js';
 import {
   sessionLife,
@@ -29,19 +29,19 @@
   type Session,
 } from './control-state.js';
 
-/** Submissions whose answers are kept for resends. */
-const KEPT_SUBMISSIONS = 1_000;
+/** Maximum number of submissions whose answers are stored for resends. */
+const MAX_STORED_SUBMISSIONS = 1_000;
 
-/** Outcome of a command and what it changed. */
-export interface Applied {
+/** Outcome of a command and its changes to the state. */
+export interface CommandResult {
   readonly outcome: CommandOutcome;
   readonly changes: readonly Change[];
 }
 
 const DONE: CommandOutcome = { kind: 'done' };
 
-/** Applies one command; `index` is that of its log entry. */
-export function applyCommand(state: ControlState, command: ControlCommand, index: number): Applied {
+/** Applies one command; `index` is the index of its log entry. */
+export function applyCommand(state: ControlState, command: ControlCommand, index: number): CommandResult {
   switch (command.kind) {
     case 'configure':
       return applyConfigure(state, command);
@@ -66,7 +66,7 @@
   }
 }
 
-function applyToCrashRecords(state: ControlState, command: CrashCommand, index: number): Applied {
+function applyToCrashRecords(state: ControlState, command: CrashCommand, index: number): CommandResult {
   const { outcome, changed, removed } = applyCrashCommand(state.crashRecords, command, index);
   const published: Change[] =
     changed.length + removed.length === 0 ? [] : [{ kind: 'crash-records', changed, removed }];
@@ -76,11 +76,11 @@
 
 // ---- configuration
 
-function applyConfigure(state: ControlState, command: ConfigureCommand): Applied {
+function applyConfigure(state: ControlState, command: ConfigureCommand): CommandResult {
   const { submissionId, baseRevision, document } = command;
-  const earlier = state.submissions.find((record) => record.submissionId === submissionId);
-  if (earlier !== undefined) {
-    return { outcome: { kind: 'configured', revision: earlier.revision }, changes: [] };
+  const previous = state.submissions.find((record) => record.submissionId === submissionId);
+  if (previous !== undefined) {
+    return { outcome: { kind: 'configured', revision: previous.revision }, changes: [] };
   }
   const presentRevision = state.configuration.revision;
   if (baseRevision !== presentRevision) {
@@ -92,10 +92,10 @@
   const revision = presentRevision + 1;
   state.configuration = { revision, document };
   state.submissions.push({ submissionId, revision });
-  if (state.submissions.length > KEPT_SUBMISSIONS) state.submissions.shift();
+  if (state.submissions.length > MAX_STORED_SUBMISSIONS) state.submissions.shift();
   createShardTables(state, document);
   const published = configurationChange(before, document, revision);
-  return { outcome: { kind: 'configured', revision }, changes: [published, ...refreshLeaving(state)] };
+  return { outcome: { kind: 'configured', revision }, changes: [published, ...updateDraining(state)] };
 }
 
 function configurationChange(
@@ -110,7 +110,7 @@
   return { kind: 'configuration', revision, services: Object.fromEntries(differing), removed };
 }
 
-/** Names a change that would break ownership, or null. */
+/** Returns a description of the first change that would violate ownership, or null. */
 export function findForbiddenChange(
   before: ConfigurationDocument,
   after: ConfigurationDocument,
@@ -138,7 +138,7 @@
   return null;
 }
 
-/** Tables of new services are not published: a daemon takes a row that it was not told of as one without owner. */
+/** Tables of new services are not published: daemons treat a row that they have not received as unowned. */
 function createShardTables(state: ControlState, document: ConfigurationDocument): void {
   for (const [name, service] of Object.entries(document.services)) {
     if (state.shards.has(name)) continue;
@@ -149,21 +149,21 @@
 
 // ---- sessions
 
-function applyOpenSession(state: ControlState, command: OpenSessionCommand, index: number): Applied {
+function applyOpenSession(state: ControlState, command: OpenSessionCommand, index: number): CommandResult {
   const { service, backend, openId, agentAddress, wallMs } = command;
-  const known = state.configuration.document.services[service]?.backends[backend] !== undefined;
-  if (!known) {
+  const isConfigured = state.configuration.document.services[service]?.backends[backend] !== undefined;
+  if (!isConfigured) {
     return {
       outcome: { kind: 'refused', detail: `no back end ${backend} in service ${service}` },
       changes: [],
     };
   }
   const changes: Change[] = [];
-  const earlier = sessionOfBackend(state, backend);
-  if (earlier?.openId === openId) {
-    return { outcome: { kind: 'session-opened', session: earlier.id }, changes: [] };
+  const previous = sessionOfBackend(state, backend);
+  if (previous?.openId === openId) {
+    return { outcome: { kind: 'session-opened', session: previous.id }, changes: [] };
   }
-  if (earlier !== undefined) changes.push(...closeSessions(state, [earlier.id], wallMs));
+  if (previous !== undefined) changes.push(...closeSessions(state, [previous.id], wallMs));
   const session: Session = { id: index, backend, service, openId, agentAddress };
   state.sessions.set(index, session);
   changes.push({ kind: 'session-opened', session });
@@ -183,7 +183,7 @@
     service,
   }));
   for (const session of closed) state.sessions.delete(session.id);
-  changes.push(...endPermits(state, closed));
+  changes.push(...withdrawPermitsOf(state, closed));
   const services = new Set(closed.map((session) => session.service));
   for (const service of services) {
     const ended = closed.filter((session) => session.service === service);
@@ -192,14 +192,14 @@
   return changes;
 }
 
-/** What is gone runs nothing any more. */
-function endPermits(state: ControlState, closed: readonly Session[]): Change[] {
-  const lives = closed.map(({ backend, id }) => sessionLife(backend, id));
-  const changed = withdrawPermits(state.crashRecords, new Set(lives));
+/** Withdraws the run permits of ended back ends, since they no longer run any request. */
+function withdrawPermitsOf(state: ControlState, closed: readonly Session[]): Change[] {
+  const incarnations = closed.map(({ backend, id }) => sessionLife(backend, id));
+  const changed = withdrawPermits(state.crashRecords, new Set(incarnations));
   return changed.length === 0 ? [] : [{ kind: 'crash-records', changed, removed: [] }];
 }
 
-/** Takes shards from ended sessions and calls off the moves that were going to them. */
+/** Removes the ownership of ended sessions and cancels the moves whose target they were. */
 function releaseShards(
   state: ControlState,
   service: string,
@@ -208,9 +208,11 @@
 ): Change[] {
   const endedIds = new Set(ended.map((session) => session.id));
   const endedBackends = new Set(ended.map((session) => session.backend));
-  const known = state.shards.get(service);
-  const concerned = new Set([...endedBackends].flatMap((backend) => known?.concerning(backend) ?? []));
-  return changeRows(state, service, concerned, (row) => {
+  const serviceShards = state.shards.get(service);
+  const affectedShards = new Set(
+    [...endedBackends].flatMap((backend) => serviceShards?.shardsInvolving(backend) ?? []),
+  );
+  return updateRows(state, service, affectedShards, (row) => {
     if (row.owner !== null && endedIds.has(row.session)) {
       return { ...row, owner: null, session: 0, movingTo: null, moveId: 0, freshAfterMs: wallMs };
     }
@@ -230,17 +232,17 @@
     if (session === undefined) continue;
     for (const shard of shards) targets.set(shard, session);
   }
-  return changeRows(state, command.service, targets.keys(), (row) => {
+  return updateRows(state, command.service, targets.keys(), (row) => {
     const session = targets.get(row.shard);
     if (session === undefined || row.owner !== null) return row;
-    return ownedBy(session, row, row.freshAfterMs);
+    return withOwner(session, row, row.freshAfterMs);
   });
 }
 
 function applyBeginMoves(state: ControlState, command: BeginMovesCommand, index: number): Change[] {
   const targets = new Map(command.moves.map(({ shard, backend }) => [shard, backend]));
   const sessions = sessionsByBackend(state);
-  return changeRows(state, command.service, targets.keys(), (row) => {
+  return updateRows(state, command.service, targets.keys(), (row) => {
     const backend = targets.get(row.shard);
     const movable = row.owner !== null && row.owner !== backend && row.movingTo === null;
     if (backend === undefined || !movable || !sessions.has(backend)) return row;
@@ -250,63 +252,64 @@
 
 function applyCompleteMove(state: ControlState, command: CompleteMoveCommand): Change[] {
   const { shard, moveId, windowHandedOver, wallMs } = command;
-  return changeRows(state, command.service, [shard], (row) => {
+  return updateRows(state, command.service, [shard], (row) => {
     if (row.moveId !== moveId || row.movingTo === null) return row;
     const freshAfterMs = windowHandedOver ? row.freshAfterMs : wallMs;
     const session = sessionOfBackend(state, row.movingTo);
-    return session === undefined ? row : ownedBy(session, row, freshAfterMs);
+    return session === undefined ? row : withOwner(session, row, freshAfterMs);
   });
 }
 
 function applyCancelMove(state: ControlState, command: CancelMoveCommand): Change[] {
-  return changeRows(state, command.service, [command.shard], (row) => {
+  return updateRows(state, command.service, [command.shard], (row) => {
     return row.moveId === command.moveId && row.movingTo !== null
       ? { ...row, movingTo: null, moveId: 0 }
       : row;
   });
 }
 
-function applySetDrain(state: ControlState, command: SetDrainCommand): Applied {
+function applySetDrain(state: ControlState, command: SetDrainCommand): CommandResult {
   const { backend, draining } = command;
   if (!isConfiguredBackend(state, backend)) {
     return { outcome: { kind: 'refused', detail: `no back end ${backend}` }, changes: [] };
   }
   if (draining) state.drained.add(backend);
   else state.drained.delete(backend);
-  return { outcome: DONE, changes: refreshLeaving(state) };
+  return { outcome: DONE, changes: updateDraining(state) };
 }
 
-function applySetEvacuation(state: ControlState, { zone, evacuated }: SetEvacuationCommand): Applied {
-  const known = isConfiguredZone(state, zone) || state.evacuatedZones.has(zone);
-  if (!known) return { outcome: { kind: 'refused', detail: `no back end in zone ${zone}` }, changes: [] };
+function applySetEvacuation(state: ControlState, { zone, evacuated }: SetEvacuationCommand): CommandResult {
+  const isKnownZone = isConfiguredZone(state, zone) || state.evacuatedZones.has(zone);
+  if (!isKnownZone)
+    return { outcome: { kind: 'refused', detail: `no back end in zone ${zone}` }, changes: [] };
   if (evacuated) state.evacuatedZones.add(zone);
   else state.evacuatedZones.delete(zone);
-  return { outcome: DONE, changes: refreshLeaving(state) };
+  return { outcome: DONE, changes: updateDraining(state) };
 }
 
-/** The row with a new owner and the next epoch. */
-function ownedBy(session: Session, row: ShardRow, freshAfterMs: number): ShardRow {
+/** Returns the row with a new owner and the next epoch. */
+function withOwner(session: Session, row: ShardRow, freshAfterMs: number): ShardRow {
   const { id, backend } = session;
   const epoch = row.epoch + 1;
   return { ...row, epoch, owner: backend, session: id, movingTo: null, moveId: 0, freshAfterMs };
 }
 
-/** Changes the rows of some shards; `change` returns the same row where nothing is to change. */
-function changeRows(
+/** Updates the rows of some shards; `change` returns the same row to leave it unchanged. */
+function updateRows(
   state: ControlState,
   service: string,
   shards: Iterable<number>,
   change: (row: ShardRow) => ShardRow,
 ): Change[] {
-  const known = state.shards.get(service);
-  if (known === undefined) return [];
+  const serviceShards = state.shards.get(service);
+  if (serviceShards === undefined) return [];
   const changes: ShardChange[] = [];
   for (const shard of shards) {
-    const row = known.get(shard);
+    const row = serviceShards.get(shard);
     if (row === undefined) continue;
     const next = change(row);
     if (next === row) continue;
-    known.set(next);
+    serviceShards.set(next);
     changes.push({ row: next, formerOwner: row.owner });
   }
   return changes.length === 0 ? [] : [{ kind: 'shards', service, shards: changes }];
--- a/src/control/state-snapshot.ts
+++ b/src/control/state-snapshot.ts
@@ -1,26 +1,26 @@
-/** The replicated state as plain data, for snapshots on disk and for daemons that need the whole table. */
+/** Serialization of the replicated state, for snapshots on disk and for daemons that need the whole table. */
 import { packRows, unpackRows, type PackedRows } from '../model/packed-rows.js';
 import { isWatched, type CrashRecord } from '../quarantine/crash-records.js';
 import { ServiceShards } from './service-shards.js';
 import type { ShardRow } from '../model/shard.js';
 import type { ConfigurationRevision, ControlState, Session, SubmissionRecord } from './control-state.js';
 
-/** The whole state as plain data. */
+/** The complete state as plain data. */
 export interface StateSnapshot {
   readonly configuration: ConfigurationRevision;
   readonly submissions: readonly SubmissionRecord[];
   readonly sessions: readonly Session[];
-  /** Missing in snapshots of versions that could not evacuate zones, where it is the same as `draining`. */
+  /** Absent in snapshots of versions without zone evacuation, where it equals `draining`. */
   readonly drained?: readonly string[];
-  /** Missing in snapshots of versions that knew none. */
+  /** Absent in snapshots of versions without zone evacuation. */
   readonly evacuatedZones?: readonly string[];
   readonly draining: readonly string[];
   readonly shards: readonly PackedRows[];
-  /** Missing in snapshots of versions that knew none. */
+  /** Absent in snapshots of versions without crash records. */
   readonly crashRecords?: readonly CrashRecord[];
 }
 
-/** Writes the state as plain data. */
+/** Encodes the state as plain data. */
 export function encodeState(state: ControlState): StateSnapshot {
   return {
     configuration: state.configuration,
@@ -34,26 +34,26 @@
   };
 }
 
-/** The state as JSON holds it, for operators and tools. */
+/** The state in a form suitable for JSON, for operators and tools. */
 export interface StateDocument extends Omit<StateSnapshot, 'shards'> {
   readonly shards: readonly { readonly service: string; readonly rows: readonly ShardRow[] }[];
-  /** Requests a second by service and shard, as the leader was told. */
+  /** Requests per second by service and shard, as reported to the leader. */
   readonly loads: readonly ServiceLoads[];
 }
 
-/** Requests a second by shard of one service. */
+/** Requests per second by shard of one service. */
 export interface ServiceLoads {
   readonly service: string;
   readonly rates: readonly (readonly [shard: number, rate: number])[];
 }
 
-/** Writes the state for JSON. */
+/** Returns the state in a form suitable for JSON. */
 export function describeState(state: ControlState, loads: readonly ServiceLoads[]): StateDocument {
   const shards = [...state.shards].map(([service, { rows }]) => ({ service, rows }));
   return { ...encodeState(state), shards, loads };
 }
 
-/** Reads a state written by `encodeState`. */
+/** Decodes a state encoded by `encodeState`. */
 export function decodeState(snapshot: StateSnapshot): ControlState {
   return {
     configuration: snapshot.configuration,
@@ -67,7 +67,7 @@
   };
 }
 
-/** The state as daemons that watch everything need it. */
+/** Encodes the state for daemons that watch the whole state. */
 export function encodeForWatchers(state: ControlState): StateSnapshot {
   const snapshot = encodeState(state);
   return { ...snapshot, submissions: [], crashRecords: (snapshot.crashRecords ?? []).filter(isWatched) };
--- a/src/control/token-bucket.ts
+++ b/src/control/token-bucket.ts
@@ -1,7 +1,7 @@
-/** A budget that fills with time up to a burst. */
+/** Token bucket that refills at a constant rate up to a maximum burst. */
 export class TokenBucket {
   private tokens: number;
-  private filledMs: number;
+  private refilledMs: number;
 
   constructor(
     private readonly burst: number,
@@ -9,15 +9,15 @@
     nowMs: number,
   ) {
     this.tokens = burst;
-    this.filledMs = nowMs;
+    this.refilledMs = nowMs;
   }
 
-  /** Takes up to `wanted` whole tokens and returns how many. */
-  take(wanted: number, nowMs: number): number {
-    const gained = ((nowMs - this.filledMs) / 1_000) * this.perSecond;
-    this.tokens = Math.min(this.burst, this.tokens + gained);
-    this.filledMs = nowMs;
-    const taken = Math.min(wanted, Math.floor(this.tokens));
+  /** Takes up to `requested` whole tokens and returns the number taken. */
+  take(requested: number, nowMs: number): number {
+    const refill = ((nowMs - this.refilledMs) / 1_000) * this.perSecond;
+    this.tokens = Math.min(this.burst, this.tokens + refill);
+    this.refilledMs = nowMs;
+    const taken = Math.min(requested, Math.floor(this.tokens));
     this.tokens -= taken;
     return taken;
   }
--- a/src/control/watch-hub.ts
+++ b/src/control/watch-hub.ts
@@ -1,7 +1,6 @@
 /**
- * Publishes committed changes to the daemons that watch this replica. Each change is encoded once for all
- * watchers of everything, and so is the whole table; a watcher of one back end gets only the rows that
- * concern it.
+ * Publishes committed changes to the daemons that watch this replica. Each change and the whole table are encoded
+ * once for all unscoped watchers; a watcher of one back end receives only the rows that involve it.
  */
 import { encodeFrame } from '../transport/frame-codec.js';
 import { packRows, type PackedRows } from '../model/packed-rows.js';
@@ -12,29 +11,29 @@
 import { encodeForWatchers, type StateSnapshot } from './state-snapshot.js';
 import { encodeChanges } from './wire-changes.js';
 
-/** Published changes that are kept for watchers that come back. */
-const KEPT_CHANGES = 4_096;
+/** Maximum number of published changes stored for watchers that reconnect. */
+const MAX_STORED_CHANGES = 4_096;
 
-/** Changes after which an encoded table is made anew, rather than sent with the changes since. */
-const CHANGES_ON_TOP_OF_TABLE = 512;
+/** Number of changes since an encoded table after which a new table is encoded instead of sending the old one with them. */
+const MAX_CHANGES_SINCE_TABLE = 512;
 
 /** A daemon that watches this replica. */
 export interface Watcher {
   readonly hello: Hello;
   readonly connection: Connection;
-  /** What the daemon is told of; null for everything. */
+  /** Part of the state that the daemon watches; null for the whole state. */
   readonly scope: WatchScope | null;
-  /** Newest index that the daemon says it has put in force. */
+  /** Latest index that the daemon has acknowledged as in effect. */
   index: number;
-  /** Configuration revision that the daemon says it has put in force. */
+  /** Latest configuration revision that the daemon has acknowledged as in effect. */
   revision: number;
 }
 
-interface Published {
+interface PublishedChanges {
   readonly index: number;
   readonly previousIndex: number;
   readonly changes: readonly Change[];
-  /** The changes as a frame for watchers of everything; made when it is first needed. */
+  /** The changes as a frame for unscoped watchers; encoded on first use. */
   frame: Buffer | null;
 }
 
@@ -43,25 +42,25 @@
   readonly frame: Buffer;
 }
 
-/** The watchers of one replica. */
+/** Watchers of one replica. */
 export class WatchHub {
-  /** Whole tables that were encoded for watchers of everything. */
+  /** Number of tables encoded for unscoped watchers. */
   tablesEncoded = 0;
   private readonly watchers = new Map<Connection, Watcher>();
-  private recent: Published[] = [];
-  /** Changes after this index are all in `recent`. */
-  private recentSince = 0;
+  private recent: PublishedChanges[] = [];
+  /** All changes after this index are in `recent`. */
+  private recentStartIndex = 0;
   private encodedTable: EncodedTable | null = null;
 
-  /** All watchers at present. */
+  /** Returns the current watchers. */
   list(): readonly Watcher[] {
     return [...this.watchers.values()];
   }
 
-  /** Starts anew after the state was replaced as a whole; watchers must be sent the table. */
+  /** Resets the hub after the whole state was replaced, and sends the table to all watchers. */
   reset(state: ControlState, index: number): void {
     this.recent = [];
-    this.recentSince = index;
+    this.recentStartIndex = index;
     this.encodedTable = null;
     for (const watcher of this.watchers.values()) this.sendTable(watcher, state, index);
   }
@@ -69,7 +68,7 @@
   /** Adds a watcher and brings it up to date. */
   add(watcher: Watcher, fromIndex: number, state: ControlState, index: number): void {
     this.watchers.set(watcher.connection, watcher);
-    const canCatchUp = fromIndex > 0 && fromIndex >= this.recentSince;
+    const canCatchUp = fromIndex > 0 && fromIndex >= this.recentStartIndex;
     if (!canCatchUp) {
       this.sendTable(watcher, state, index);
       return;
@@ -77,19 +76,19 @@
     this.sendRecent(watcher, fromIndex);
   }
 
-  /** A connection has closed or no longer watches. */
+  /** Removes the watcher of a connection, if any. */
   remove(connection: Connection): void {
     this.watchers.delete(connection);
   }
 
-  /** Tells every watcher that this replica is current, and what it should have by now. */
-  sendAlive(): void {
+  /** Sends every watcher a heartbeat: this replica is current, with the index of the latest change. */
+  sendHeartbeat(): void {
     if (this.watchers.size === 0) return;
     const frame = encodeFrame({ kind: 'watch-alive', index: this.newestIndex });
     for (const { connection } of this.watchers.values()) connection.sendEncoded(frame);
   }
 
-  /** Tells every watcher to go elsewhere. */
+  /** Refuses further service to all watchers, so that they choose another replica. */
   dismissAll(reason: 'no-leader'): void {
     for (const { connection } of this.watchers.values()) {
       connection.send({ kind: 'watch-refused', reason });
@@ -97,7 +96,7 @@
     this.watchers.clear();
   }
 
-  /** Records what a watcher has put in force. */
+  /** Records the index and revision that a watcher has put into effect. */
   acknowledge(connection: Connection, index: number, revision: number): void {
     const watcher = this.watchers.get(connection);
     if (watcher === undefined) return;
@@ -105,19 +104,19 @@
     watcher.revision = Math.max(watcher.revision, revision);
   }
 
-  /** Publishes what one committed command changed. */
+  /** Publishes the changes of one committed command. */
   publish(index: number, changes: readonly Change[]): void {
     if (changes.length === 0) return;
     const previousIndex = this.newestIndex;
-    const published: Published = { index, previousIndex, changes, frame: null };
+    const published: PublishedChanges = { index, previousIndex, changes, frame: null };
     this.recent.push(published);
-    if (this.recent.length > KEPT_CHANGES) this.recentSince = this.recent.shift()?.index ?? index;
+    if (this.recent.length > MAX_STORED_CHANGES) this.recentStartIndex = this.recent.shift()?.index ?? index;
     for (const watcher of this.watchers.values()) sendChanges(watcher, published);
   }
 
-  /** Index of the newest change that was published, or of the state that the changes build on. */
+  /** Index of the latest published change, or of the state if none was published since. */
   private get newestIndex(): number {
-    return this.recent.at(-1)?.index ?? this.recentSince;
+    return this.recent.at(-1)?.index ?? this.recentStartIndex;
   }
 
   private sendRecent(watcher: Watcher, afterIndex: number): void {
@@ -131,30 +130,30 @@
       watcher.connection.send({ kind: 'table', index, table: tableInScope(state, watcher.scope) });
       return;
     }
-    const table = this.recentTable(state, index);
+    const table = this.reusableTable(state, index);
     watcher.connection.sendEncoded(table.frame);
     this.sendRecent(watcher, table.index);
   }
 
   /**
-   * The whole table, encoded for many daemons at once: those that come while the state changes all the time get
-   * a table that is a little older, and the changes since.
+   * Returns the whole table, encoded once for many daemons: daemons that join while the state keeps changing receive
+   * a slightly older table and the changes since then.
    */
-  private recentTable(state: ControlState, index: number): EncodedTable {
-    if (this.encodedTable !== null && this.isRecent(this.encodedTable)) return this.encodedTable;
+  private reusableTable(state: ControlState, index: number): EncodedTable {
+    if (this.encodedTable !== null && this.isReusable(this.encodedTable)) return this.encodedTable;
     const table = encodeForWatchers(state);
     this.encodedTable = { index, frame: encodeFrame({ kind: 'table', index, table }) };
     this.tablesEncoded += 1;
     return this.encodedTable;
   }
 
-  private isRecent(table: EncodedTable): boolean {
-    const oldest = this.recent.at(-CHANGES_ON_TOP_OF_TABLE);
-    return table.index >= this.recentSince && (oldest === undefined || table.index >= oldest.index);
+  private isReusable(table: EncodedTable): boolean {
+    const oldest = this.recent.at(-MAX_CHANGES_SINCE_TABLE);
+    return table.index >= this.recentStartIndex && (oldest === undefined || table.index >= oldest.index);
   }
 }
 
-function sendChanges(watcher: Watcher, published: Published): void {
+function sendChanges(watcher: Watcher, published: PublishedChanges): void {
   const { index, previousIndex, changes } = published;
   if (watcher.scope === null) {
     published.frame ??= encodeFrame({
@@ -166,9 +165,9 @@
     watcher.connection.sendEncoded(published.frame);
     return;
   }
-  const concerned = changesInScope(changes, watcher.scope);
-  if (concerned.length === 0) return;
-  watcher.connection.send({ kind: 'changes', index, previousIndex, changes: encodeChanges(concerned) });
+  const scopedChanges = changesInScope(changes, watcher.scope);
+  if (scopedChanges.length === 0) return;
+  watcher.connection.send({ kind: 'changes', index, previousIndex, changes: encodeChanges(scopedChanges) });
 }
 
 function tableInScope(state: ControlState, scope: WatchScope): StateSnapshot {
@@ -186,6 +185,6 @@
 
 function rowsInScope(state: ControlState, scope: WatchScope): PackedRows[] {
   const shards = state.shards.get(scope.service);
-  const inScope = (shards?.concerning(scope.backend) ?? []).flatMap((shard) => shards?.get(shard) ?? []);
+  const inScope = (shards?.shardsInvolving(scope.backend) ?? []).flatMap((shard) => shards?.get(shard) ?? []);
   return [packRows(scope.service, inScope)];
 }
--- a/src/control/wire-changes.ts
+++ b/src/control/wire-changes.ts
@@ -1,13 +1,13 @@
-/** Published changes as they travel to daemons: rows of shards packed. */
+/** Wire format of published changes, with packed shard rows. */
 import { packRows, type PackedRows } from '../model/packed-rows.js';
 import type { Change } from './changes.js';
 
-type OtherChange = Exclude<Change, { kind: 'shards' }>;
+type UnpackedChange = Exclude<Change, { kind: 'shards' }>;
 
-/** A published change on its way. */
-export type WireChange = OtherChange | { readonly kind: 'shards'; readonly rows: PackedRows };
+/** A published change in wire format. */
+export type WireChange = UnpackedChange | { readonly kind: 'shards'; readonly rows: PackedRows };
 
-/** Writes changes for sending. */
+/** Encodes changes for sending. */
 export function encodeChanges(changes: readonly Change[]): WireChange[] {
   return changes.map((change) => {
     if (change.kind !== 'shards') return change;
--- a/src/directory/directory-node.ts
+++ b/src/directory/directory-node.ts
@@ -9,7 +9,7 @@
   type ReplicaId,
 } from '../consensus/raft-types.js';
 import { LeaseTable } from '../control/lease-table.js';
-import { readPeerMessage } from '../control/peer-messages.js';
+import { parsePeerMessage } from '../control/peer-messages.js';
 import type { PeerMessage } from '../control/peer-network.js';
 import { Proposals, type ProposalError } from '../control/proposals.js';
 import { formatAddress } from '../model/socket-address.js';
@@ -455,7 +455,7 @@
       this.leaderRequests.takeRelayed(relayed);
       return;
     }
-    const checked = readPeerMessage(message);
+    const checked = parsePeerMessage(message);
     if (checked === null) {
       connection.close('unreadable message');
       return;
--- a/test/consensus/raft-core.test.ts
+++ b/test/consensus/raft-core.test.ts
@@ -190,7 +190,7 @@
   t.is(replica.upToDateMs, heardMs + 100);
 });
 
-test('no replica is up to date before an entry of the current term is committed, since the commit index may be higher than known', (t) => {
+test('nobody is up to date while no entry of the present term is committed: the commit index may be higher than known', (t) => {
   const held = {
     hardState: { term: 1, votedFor: null },
     snapshot: { index: 3, term: 1, membership: MEMBERSHIP },
--- a/test/control/leaving-backends.test.ts
+++ b/test/control/draining-backends.test.ts
@@ -1,4 +1,4 @@
-/** Which back ends are to be emptied, by operators' names and by evacuated zones. */
+/** Draining back ends: those drained by operators and those in evacuated zones. */
 import test from 'ava';
 import fc from 'fast-check';
 import { configurationSchema, type ConfigurationDocument } from '../../src/config/configuration.js';
@@ -11,7 +11,7 @@
 const ZONES = ['north', 'south'];
 const BACKENDS = ['one', 'two', 'three'];
 
-/** A configuration that has each back end in the zone at its place. */
+/** Returns a configuration in which each back end has the zone at the same position. */
 function document(zones: readonly string[]): ConfigurationDocument {
   const backends = zones.map((zone, at) => [
     BACKENDS[at],
@@ -24,7 +24,7 @@
 
 class World {
   readonly state = emptyControlState();
-  /** What a daemon that watches believes. */
+  /** Draining back ends as seen by a watching daemon. */
   readonly watched = new Set<string>();
   private index = 0;
 
@@ -66,16 +66,16 @@
   return world;
 }
 
-test('all back ends of an evacuated zone leave, and come back when it ends', (t) => {
+test('all back ends of an evacuated zone drain until the evacuation ends', (t) => {
   const world = ready();
   t.is(world.evacuate('north'), 'done');
   t.deepEqual(world.leaving, ['one', 'two']);
-  t.is(world.evacuate('north'), 'done', 'asking again changes nothing');
+  t.is(world.evacuate('north'), 'done', 'a repeated request has no further effect');
   t.is(world.evacuate('north', false), 'done');
   t.deepEqual(world.leaving, []);
 });
 
-test('a back end that an operator has named stays away when the evacuation of its zone ends', (t) => {
+test('a back end drained by an operator keeps draining when the evacuation of its zone ends', (t) => {
   const world = ready();
   world.drain('one');
   world.evacuate('north');
@@ -83,14 +83,14 @@
   t.deepEqual(world.leaving, ['one']);
 });
 
-test('a back end that comes into an evacuated zone leaves, one that goes to another zone does not', (t) => {
+test('a back end configured into an evacuated zone drains, one configured into another zone does not', (t) => {
   const world = ready();
   world.evacuate('north');
   world.configure(['south', 'north', 'north']);
   t.deepEqual(world.leaving, ['three', 'two']);
 });
 
-test('a zone without back ends is refused; its evacuation can be ended as long as it stands', (t) => {
+test('evacuating a zone without back ends is refused; an active evacuation of such a zone can be ended', (t) => {
   const world = ready();
   t.is(world.evacuate('east'), 'refused');
   world.evacuate('south');
@@ -99,7 +99,7 @@
   t.is(world.evacuate('south', false), 'refused');
 });
 
-test('a snapshot of a version that knew no zones keeps what an operator has named', (t) => {
+test('a snapshot of a version without zone evacuation keeps the back ends drained by an operator', (t) => {
   const world = ready();
   world.drain('one');
   const { drained, evacuatedZones, ...earlier } = encodeState(world.state);
@@ -108,7 +108,7 @@
   t.deepEqual([...restored.drained], ['one']);
 });
 
-test('after any commands watchers know who leaves: those who are named, and those in evacuated zones', (t) => {
+test('after any commands watchers know all draining back ends: the drained ones and those in evacuated zones', (t) => {
   const flag = fc.boolean();
   const zone = fc.constantFrom(...ZONES);
   const step = fc.oneof(
@@ -127,12 +127,12 @@
   );
   const property = fc.property(fc.array(step, { maxLength: 20 }), (steps) => {
     const world = ready();
-    for (const take of steps) take(world);
+    for (const applyStep of steps) applyStep(world);
     const { drained, evacuatedZones, configuration } = world.state;
     const configured = Object.entries(configuration.document.services['stock']?.backends ?? {});
     const evacuated = configured.filter(([, backend]) => evacuatedZones.has(backend.zone));
-    const wanted = new Set([...drained, ...evacuated.map(([name]) => name)]);
-    t.deepEqual(world.leaving, [...wanted].sort());
+    const expected = new Set([...drained, ...evacuated.map(([name]) => name)]);
+    t.deepEqual(world.leaving, [...expected].sort());
     t.deepEqual([...world.watched].sort(), world.leaving);
   });
   fc.assert(property, { seed: 1, numRuns: 500 });
--- a/test/control/leader-duties.test.ts
+++ b/test/control/leader-duties.test.ts
@@ -10,7 +10,7 @@
 
 const BACKENDS = ['one', 'two', 'three'];
 
-/** A leader whose proposals are committed at once. */
+/** A leader whose proposals are committed immediately. */
 class Leader {
   readonly state: ControlState = emptyControlState();
   readonly commands: ControlCommand[] = [];
@@ -25,7 +25,7 @@
     new LoadTable(),
     () => this.clockMs,
   );
-  planTakesMs = 0;
+  planDurationMs = 0;
   private index = 0;
 
   constructor(services: readonly string[] = ['stock'], shards = 6) {
@@ -49,7 +49,7 @@
   apply(command: ControlCommand): ReturnType<typeof applyCommand>['outcome'] {
     this.index += 1;
     const { outcome, changes } = applyCommand(this.state, command, this.index);
-    this.duties.noteChanges(changes);
+    this.duties.recordChanges(changes);
     return outcome;
   }
 
@@ -60,17 +60,17 @@
   }
 
   async run(nowMs: number): Promise<void> {
-    this.clockMs = nowMs + this.planTakesMs;
+    this.clockMs = nowMs + this.planDurationMs;
     this.duties.run(nowMs);
     await new Promise((resolve) => setImmediate(resolve));
   }
 
-  owned(backend: string): number {
+  ownedShards(backend: string): number {
     return this.state.shards.get('stock')?.rows.filter((row) => row.owner === backend).length ?? 0;
   }
 }
 
-test('a first assignment waits while back ends go on coming', async (t) => {
+test('a first assignment waits while new back ends keep joining', async (t) => {
   const leader = new Leader();
   leader.join('one');
   await leader.run(0);
@@ -80,20 +80,20 @@
   await leader.run(1_800);
   t.is(leader.commands.length, 0);
   await leader.run(1_960);
-  t.deepEqual([leader.owned('one'), leader.owned('two')], [3, 3]);
+  t.deepEqual([leader.ownedShards('one'), leader.ownedShards('two')], [3, 3]);
 });
 
-test('a first assignment does not wait when all back ends are there', async (t) => {
+test('a first assignment does not wait when all back ends have joined', async (t) => {
   const leader = new Leader();
   for (const backend of BACKENDS) leader.join(backend);
   await leader.run(0);
   t.deepEqual(
-    BACKENDS.map((backend) => leader.owned(backend)),
+    BACKENDS.map((backend) => leader.ownedShards(backend)),
     [2, 2, 2],
   );
 });
 
-test('shards of a lost owner are assigned at once, and nothing else moves', async (t) => {
+test('shards of a lost owner are assigned immediately, and no other shard moves', async (t) => {
   const leader = new Leader();
   for (const backend of BACKENDS) leader.join(backend);
   await leader.run(0);
@@ -101,14 +101,14 @@
   leader.commands.length = 0;
   leader.apply({ kind: 'close-sessions', sessions: [lost?.id ?? 0], wallMs: 0 });
   await leader.run(1);
-  t.deepEqual([leader.owned('one'), leader.owned('three')], [3, 3]);
+  t.deepEqual([leader.ownedShards('one'), leader.ownedShards('three')], [3, 3]);
   t.deepEqual(
     leader.commands.map(({ kind }) => kind),
     ['assign'],
   );
 });
 
-test('nothing is planned while nothing has changed', async (t) => {
+test('no command is proposed while the state is unchanged', async (t) => {
   const leader = new Leader();
   for (const backend of BACKENDS) leader.join(backend);
   await leader.run(0);
@@ -117,7 +117,7 @@
   t.deepEqual(leader.commands, []);
 });
 
-test('a run ends after its budget, and the next goes on with the other services', async (t) => {
+test('a run ends after its budget, and the next run continues with the other services', async (t) => {
   const leader = new Leader(['stock', 'archive', 'ledger']);
   const planned: string[] = [];
   const { shards } = leader.state;
@@ -136,13 +136,13 @@
       agentAddress: { host: '10.0.0.1', port: 1 },
     });
   }
-  leader.planTakesMs = 50;
+  leader.planDurationMs = 50;
   for (let run = 0; run < 3; run += 1) await leader.run(run);
   t.deepEqual([...new Set(planned)], ['archive', 'ledger', 'stock']);
-  t.is(planned.length, 3, 'one service a run');
+  t.is(planned.length, 3, 'one service per run');
 });
 
-test('a large first assignment is cut into commands of bounded size, and none is left over', async (t) => {
+test('a large first assignment is split into commands of bounded size that cover all shards', async (t) => {
   const leader = new Leader(['stock'], 2_500);
   for (const backend of BACKENDS) leader.join(backend);
   for (let run = 0; run < 5; run += 1) await leader.run(run);
@@ -152,7 +152,7 @@
   });
   t.deepEqual(sizes, [1_000, 1_000, 500]);
   t.deepEqual(
-    BACKENDS.map((backend) => leader.owned(backend)),
+    BACKENDS.map((backend) => leader.ownedShards(backend)),
     [834, 833, 833],
   );
 });
--- a/test/control/move-reports.test.ts
+++ b/test/control/move-reports.test.ts
@@ -8,7 +8,7 @@
 const MOVE_ID = 7;
 const CANCEL = { kind: 'cancel-move', service: 'stock', shard: 0, moveId: MOVE_ID } as const;
 
-test('a report is proposed once while it is under way, and not at all when it does not fit', async (t) => {
+test('a report is proposed once while in flight, and not at all when it does not match the move', async (t) => {
   const state = emptyControlState();
   const row = { ...emptyShardRow(0), owner: 'one', session: 1, movingTo: 'two', moveId: MOVE_ID };
   state.shards.set('stock', new ServiceShards([row]));
@@ -21,16 +21,16 @@
       await new Promise<void>((resolve) => (settle = resolve));
     },
   );
-  t.true(reports.take(CANCEL));
-  t.false(reports.take(CANCEL), 'repeated');
-  t.false(reports.take({ ...CANCEL, moveId: MOVE_ID - 1 }), 'of an earlier move');
-  t.false(reports.take({ ...CANCEL, service: 'other' }));
+  t.true(reports.proposeReport(CANCEL));
+  t.false(reports.proposeReport(CANCEL), 'repeated report');
+  t.false(reports.proposeReport({ ...CANCEL, moveId: MOVE_ID - 1 }), 'report of an earlier move');
+  t.false(reports.proposeReport({ ...CANCEL, service: 'other' }));
   settle();
   await new Promise((resolve) => setImmediate(resolve));
-  t.true(reports.take(CANCEL), 'the proposal came to nothing');
+  t.true(reports.proposeReport(CANCEL), 'the proposal had no effect');
   state.shards.get('stock')?.set({ ...row, movingTo: null, moveId: 0 });
   settle();
   await new Promise((resolve) => setImmediate(resolve));
-  t.false(reports.take(CANCEL), 'the move is over');
+  t.false(reports.proposeReport(CANCEL), 'the move is over');
   t.is(proposed.length, 2);
 });
--- a/test/control/session-service.test.ts
+++ b/test/control/session-service.test.ts
@@ -63,7 +63,7 @@
   }
 }
 
-test('a renewal is answered only when leadership was confirmed after it', (t) => {
+test('a renewal is answered only when leadership is confirmed after its arrival', (t) => {
   const leader = new Leader(1);
   leader.renew(1);
   t.deepEqual(leader.notices, []);
@@ -71,7 +71,7 @@
   t.deepEqual(leader.notices, [{ kind: 'session-renewed', session: 1, sentMs: 7, termMs: TERM_MS }]);
 });
 
-test('a new leader ends nothing for a whole term', (t) => {
+test('a new leader expires no session for one full lease term', (t) => {
   const leader = new Leader(1);
   leader.nowMs = TERM_MS;
   leader.sessions.expire();
@@ -81,7 +81,7 @@
   t.deepEqual(leader.ended, [[1]]);
 });
 
-test('of many sessions that run out together a few are ended at a time, and a late renewal keeps the others', (t) => {
+test('when many leases expire together, few sessions are closed per run, and a late renewal keeps the others', (t) => {
   const leader = new Leader(30);
   leader.nowMs = TERM_MS + 1;
   leader.sessions.expire();
@@ -92,7 +92,7 @@
   t.is(leader.ended.flat().length, 8);
 });
 
-test('a session whose end was proposed is never renewed', (t) => {
+test('a session whose closing was proposed is never renewed', (t) => {
   const leader = new Leader(1);
   leader.nowMs = TERM_MS + 1;
   leader.sessions.expire();
@@ -100,7 +100,7 @@
   t.deepEqual(leader.notices, [{ kind: 'session-ended', session: 1 }]);
 });
 
-test('asking again for a session is answered at once; it costs no entry of the log and lengthens no lease', (t) => {
+test('asking again for a session is answered at once, without a log entry and without extending the lease', (t) => {
   const leader = new Leader(1);
   leader.nowMs = TERM_MS;
   leader.open('o1');
@@ -120,6 +120,6 @@
     return leader.ended.flat().length;
   };
   leader.nowMs = TERM_MS + 1;
-  t.is(runUntil(TERM_MS + 700), 56, 'eight in each of seven runs');
+  t.is(runUntil(TERM_MS + 700), 56, 'eight sessions in each of seven runs');
   t.true(runUntil(TERM_MS + 10_700) <= 64 + 11 * 12);
 });
--- a/test/control/state-machine.test.ts
+++ b/test/control/state-machine.test.ts
@@ -85,13 +85,13 @@
   return machine;
 }
 
-test('of two operators with equal numbers one wins, and the other is told both numbers', (t) => {
+test('of two changes with the same base revision one is accepted, and the other conflict reports both revisions', (t) => {
   const machine = new Machine();
   t.deepEqual(machine.configure('left', 0), { kind: 'configured', revision: 1 });
   t.deepEqual(machine.configure('right', 0), { kind: 'conflict', presentRevision: 1, baseRevision: 0 });
 });
 
-test('a resend gets the first answer, also after other changes', (t) => {
+test('a resend receives the original answer, even after other changes', (t) => {
   const machine = new Machine();
   machine.configure('left', 0);
   machine.configure('right', 1);
@@ -106,14 +106,14 @@
   t.is(machine.state.configuration.revision, 1);
 });
 
-test('a shard with an owner is not assigned again', (t) => {
+test('an owned shard is not assigned again', (t) => {
   const machine = ready();
   machine.assign('two', 0);
   t.is(machine.row(0).owner, 'one');
   t.is(machine.row(0).epoch, 1);
 });
 
-test('opening again under the same id gives the same session; under another it ends the first', (t) => {
+test('opening with the same id returns the same session; opening with another id closes it', (t) => {
   const machine = ready();
   const session = machine.row(0).session;
   t.is(machine.open('one'), session);
@@ -123,7 +123,7 @@
   t.is(machine.row(0).freshAfterMs, WALL_MS, 'the window of claimed keys is lost');
 });
 
-test('a move keeps the owner until it is complete, and raises the epoch', (t) => {
+test('a shard keeps its owner until its move is complete, which increments the epoch', (t) => {
   const machine = ready();
   const moveId = machine.beginMove(0, 'two');
   t.is(machine.row(0).owner, 'one');
@@ -131,13 +131,13 @@
   t.like(machine.row(0), { owner: 'two', epoch: 2, movingTo: null, freshAfterMs: 0 });
 });
 
-test('a window that was not handed over counts as lost', (t) => {
+test('a window of claimed keys that was not handed over counts as lost', (t) => {
   const machine = ready();
   machine.completeMove(0, machine.beginMove(0, 'two'), false);
   t.is(machine.row(0).freshAfterMs, WALL_MS);
 });
 
-test('a late report of an earlier move changes nothing', (t) => {
+test('a delayed report of an earlier move has no effect', (t) => {
   const machine = ready();
   const first = machine.beginMove(0, 'two');
   machine.apply({ kind: 'cancel-move', service: 'stock', shard: 0, moveId: first });
@@ -148,7 +148,7 @@
   t.like(machine.row(0), { owner: 'one', movingTo: 'two', moveId: second });
 });
 
-test('the end of the target of a move calls it off; the end of its owner frees the shard', (t) => {
+test('closing the session of a move target cancels the move; closing that of the owner makes the shard unowned', (t) => {
   const machine = ready();
   machine.beginMove(0, 'two');
   machine.beginMove(2, 'one');
@@ -157,7 +157,7 @@
   t.like(machine.row(2), { owner: null, movingTo: null, freshAfterMs: WALL_MS });
 });
 
-test('a snapshot brings the same state back', (t) => {
+test('a snapshot restores the same state', (t) => {
   const machine = ready();
   machine.beginMove(0, 'two');
   machine.apply({ kind: 'set-drain', backend: 'one', draining: true });
@@ -167,7 +167,10 @@
   t.deepEqual([...restored.keys()], [...shards.keys()]);
   t.deepEqual(restored.get('stock')?.rows, shards.get('stock')?.rows);
   for (const backend of ['one', 'two']) {
-    t.deepEqual(restored.get('stock')?.concerning(backend), shards.get('stock')?.concerning(backend));
+    t.deepEqual(
+      restored.get('stock')?.shardsInvolving(backend),
+      shards.get('stock')?.shardsInvolving(backend),
+    );
   }
 });
 
--- a/test/control/watch-hub.test.ts
+++ b/test/control/watch-hub.test.ts
@@ -10,7 +10,7 @@
 
 const HELLO = { kind: 'hello', version: 1, token: 't', role: 'router', name: 'r', zone: 'z' } as const;
 
-/** A daemon whose table is fed straight from the hub. */
+/** A daemon whose table is updated directly by the hub. */
 class Daemon {
   readonly table: WatchedTable;
   tables = 0;
@@ -48,7 +48,7 @@
     this.state.shards.set('stock', new ServiceShards(rows));
   }
 
-  own(shard: number, owner: string): void {
+  setOwner(shard: number, owner: string): void {
     const shards = this.state.shards.get('stock');
     const before = shards?.get(shard) ?? emptyShardRow(shard);
     const row = { ...before, owner, epoch: before.epoch + 1, session: 1 };
@@ -67,11 +67,11 @@
   return [...daemon.table.rowsOf('stock')].sort((a, b) => a.shard - b.shard).map(({ owner }) => owner);
 }
 
-test('daemons that join while the state changes share one encoded table and still have the newest rows', (t) => {
+test('daemons that join while the state changes share one encoded table and still have the latest rows', (t) => {
   const replica = new Replica(4);
   const daemons: Daemon[] = [];
   for (let change = 0; change < 100; change += 1) {
-    replica.own(change % 4, `backend-${change}`);
+    replica.setOwner(change % 4, `backend-${change}`);
     const daemon = new Daemon(null);
     replica.join(daemon);
     daemons.push(daemon);
@@ -83,52 +83,52 @@
   }
 });
 
-test('a daemon that comes back gets only what it missed', (t) => {
+test('a daemon that reconnects receives only the changes that it missed', (t) => {
   const replica = new Replica(2);
-  replica.own(0, 'one');
+  replica.setOwner(0, 'one');
   const daemon = new Daemon(null);
   replica.join(daemon);
   replica.hub.remove(daemon.watcher.connection);
-  replica.own(1, 'two');
+  replica.setOwner(1, 'two');
   t.deepEqual(owners(daemon), ['one', null]);
   replica.join(daemon);
   t.is(daemon.tables, 1);
   t.deepEqual(owners(daemon), ['one', 'two']);
 });
 
-test('a daemon that is too far behind gets the table again', (t) => {
+test('a daemon that is too far behind receives the whole table again', (t) => {
   const replica = new Replica(2);
-  replica.own(0, 'one');
+  replica.setOwner(0, 'one');
   const daemon = new Daemon(null);
   replica.join(daemon);
   replica.hub.remove(daemon.watcher.connection);
-  for (let change = 0; change < 5_000; change += 1) replica.own(1, `backend-${change}`);
+  for (let change = 0; change < 5_000; change += 1) replica.setOwner(1, `backend-${change}`);
   replica.join(daemon);
   t.is(daemon.tables, 2);
   t.deepEqual(owners(daemon), ['one', 'backend-4999']);
 });
 
-test('a watcher of one back end hears of what comes to it and of what leaves it, and of nothing else', (t) => {
+test('a watcher of one back end receives only the shards that it gains and loses', (t) => {
   const replica = new Replica(3);
   const daemon = new Daemon({ service: 'stock', backend: 'one' });
   replica.join(daemon);
-  replica.own(0, 'one');
-  replica.own(1, 'two');
+  replica.setOwner(0, 'one');
+  replica.setOwner(1, 'two');
   t.deepEqual(owners(daemon), ['one']);
   t.is(daemon.table.index, 1, 'the row of another back end was not sent');
-  replica.own(0, 'two');
+  replica.setOwner(0, 'two');
   t.is(daemon.table.index, 3);
   t.deepEqual(owners(daemon), [], 'a row that has left is forgotten');
 });
 
-test('a table never goes back', (t) => {
+test('a table is never replaced by an older one', (t) => {
   const replica = new Replica(1);
-  replica.own(0, 'one');
-  replica.own(0, 'two');
+  replica.setOwner(0, 'one');
+  replica.setOwner(0, 'two');
   const daemon = new Daemon(null);
   replica.join(daemon);
   const stale = new Replica(1);
-  stale.own(0, 'one');
+  stale.setOwner(0, 'one');
   stale.hub.reset(stale.state, stale.index);
   t.false(daemon.table.replace(1, { ...daemonTable(), shards: [] }));
   t.deepEqual(owners(daemon), ['two']);
--- a/test/spec/ownership-traces.test.ts
+++ b/test/spec/ownership-traces.test.ts
@@ -1,4 +1,4 @@
-/** Traces of the specification are replayed on the real state machine, so that the two cannot drift apart. */
+/** Replays traces of the specification on the real state machine, so that the two cannot diverge. */
 import test from 'ava';
 import { execFileSync } from 'node:child_process';
 import { mkdtempSync, readdirSync, readFileSync, rmSync } from 'node:fs';
@@ -12,8 +12,8 @@
 
 const ROOT = fileURLToPath(new URL('../../../', import.meta.url));
 const QUINT = join(ROOT, 'node_modules', '@informalsystems', 'quint', 'dist', 'src', 'cli.js');
-const TRACES = 60;
-const STEPS = 60;
+const TRACE_COUNT = 60;
+const MAX_STEPS = 60;
 const SEED = 1;
 const WALL_MS = 1_800_000_000_000;
 const ADDRESS = { host: '10.0.0.1', port: 1 };
@@ -41,17 +41,32 @@
   readonly sessions: { readonly '#map': readonly [string, BigIntValue][] };
 }
 
-function number(value: BigIntValue): number {
+function toNumber(value: BigIntValue): number {
   return Number(value['#bigint']);
 }
 
 function generateTraces(): SpecState[][] {
   const folder = mkdtempSync(join(tmpdir(), 'aldertide-spec-'));
   try {
-    const given = ['run', join(ROOT, 'spec', 'ownership.qnt'), '--backend=typescript', `--seed=${SEED}`];
-    const size = [`--max-samples=${TRACES}`, `--n-traces=${TRACES}`, `--max-steps=${STEPS}`];
-    const output = ['--mbt', `--out-itf=${join(folder, 'trace_{seq}.itf.json')}`, '--verbosity=0'];
-    execFileSync(process.execPath, [QUINT, ...given, ...size, ...output, '--invariant=safe']);
+    const runArguments = [
+      'run',
+      join(ROOT, 'spec', 'ownership.qnt'),
+      '--backend=typescript',
+      `--seed=${SEED}`,
+    ];
+    const sizeArguments = [
+      `--max-samples=${TRACE_COUNT}`,
+      `--n-traces=${TRACE_COUNT}`,
+      `--max-steps=${MAX_STEPS}`,
+    ];
+    const outputArguments = ['--mbt', `--out-itf=${join(folder, 'trace_{seq}.itf.json')}`, '--verbosity=0'];
+    execFileSync(process.execPath, [
+      QUINT,
+      ...runArguments,
+      ...sizeArguments,
+      ...outputArguments,
+      '--invariant=safe',
+    ]);
     return readdirSync(folder).map((name) => {
       return (JSON.parse(readFileSync(join(folder, name), 'utf8')) as { states: SpecState[] }).states;
     });
@@ -60,14 +75,14 @@
   }
 }
 
-/** The command that an action of the specification stands for; null for what is not replicated. */
+/** Returns the command that corresponds to an action of the specification; null for actions that are not replicated. */
 function commandOf(state: SpecState, real: ControlState): ControlCommand | null {
   const backend = state['mbt::nondetPicks'].b.value;
-  const shard = number(state['mbt::nondetPicks'].s.value);
+  const shard = toNumber(state['mbt::nondetPicks'].s.value);
   const service = 'stock';
   switch (state['mbt::actionTaken']) {
     case 'openSession': {
-      const openId = `open-${number(state.index)}`;
+      const openId = `open-${toNumber(state.index)}`;
       return { kind: 'open-session', service, backend, openId, agentAddress: ADDRESS, wallMs: WALL_MS };
     }
     case 'closeSession': {
@@ -87,7 +102,7 @@
   }
 }
 
-function startState(): ControlState {
+function initialState(): ControlState {
   const state = emptyControlState();
   const backend = { zone: 'z', address: ADDRESS };
   const service = {
@@ -106,16 +121,16 @@
 function describeSpec(state: SpecState): unknown {
   return {
     rows: state.rows['#map'].map(([shard, row]) => ({
-      shard: number(shard),
+      shard: toNumber(shard),
       owner: row.owner === '' ? null : row.owner,
-      epoch: number(row.epoch),
-      session: number(row.session),
+      epoch: toNumber(row.epoch),
+      session: toNumber(row.session),
       movingTo: row.movingTo === '' ? null : row.movingTo,
-      moveId: number(row.moveId),
+      moveId: toNumber(row.moveId),
     })),
     sessions: state.sessions['#map']
-      .filter(([, id]) => number(id) > 0)
-      .map(([name, id]) => `${name} ${number(id)}`)
+      .filter(([, id]) => toNumber(id) > 0)
+      .map(([name, id]) => `${name} ${toNumber(id)}`)
       .sort(),
   };
 }
@@ -130,20 +145,20 @@
   };
 }
 
-test('every trace of the specification gives the same rows and sessions on the real state machine', (t) => {
+test('every trace of the specification produces the same rows and sessions on the real state machine', (t) => {
   const traces = generateTraces();
-  t.is(traces.length, TRACES);
+  t.is(traces.length, TRACE_COUNT);
   let commands = 0;
   for (const states of traces) {
-    const real = startState();
+    const real = initialState();
     for (const state of states) {
       const command = commandOf(state, real);
       if (command !== null) {
-        applyCommand(real, command, number(state.index));
+        applyCommand(real, command, toNumber(state.index));
         commands += 1;
       }
       t.deepEqual(describeReal(real), describeSpec(state), state['mbt::actionTaken']);
     }
   }
-  t.true(commands > TRACES);
+  t.true(commands > TRACE_COUNT);
 });
--- a/test/storage/replica-storage.test.ts
+++ b/test/storage/replica-storage.test.ts
@@ -109,7 +109,7 @@
 ];
 
 for (const { name, term, lastIndexAfter } of SNAPSHOT_CASES) {
-  test(`disk and memory contain the same log after a snapshot that ${name}`, async (t) => {
+  test(`disk and memory hold the same log after a snapshot that ${name}`, async (t) => {
     await inFolder(async (folder) => {
       const storage = await open(folder);
       await storage.form(MEMBERSHIP);
--- a/test/transport/frame-codec.test.ts
+++ b/test/transport/frame-codec.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import fc from 'fast-check';
 import { daemonRequestSchema } from '../../src/control/daemon-messages.js';
-import { readPeerMessage } from '../../src/control/peer-messages.js';
+import { parsePeerMessage } from '../../src/control/peer-messages.js';
 import {
   decodeFrame,
   encodeCompactFrame,
@@ -38,7 +38,7 @@
       const decoded = new FrameDecoder(1_000).push(input);
       for (const message of decoded.ok ? decoded.val : []) {
         t.is(checkHello(message, TOKEN), 'not-a-hello');
-        t.is(readPeerMessage(message), null);
+        t.is(parsePeerMessage(message), null);
         t.false(daemonRequestSchema.safeParse(message).success);
       }
     }
