--- a/src/cli/control-daemon.ts
+++ b/src/cli/control-daemon.ts
@@ -37,7 +37,12 @@
     'Newest committed entry',
     () => node.consensus?.core.commitIndex ?? 0,
   );
-  exposeValue(registry, 'raft_applied_index', 'Newest applied entry', () => node.consensus?.applied ?? 0);
+  exposeValue(
+    registry,
+    'raft_applied_index',
+    'Newest applied entry',
+    () => node.consensus?.appliedIndex ?? 0,
+  );
   exposeValue(registry, 'log_bytes', 'Size of the log on disk', () => node.logBytes);
   exposeValue(registry, 'log_syncs', 'Syncs of the log', () => node.consensus?.counters.syncs ?? 0);
   exposeValue(
--- a/src/consensus/raft-core.ts
+++ b/src/consensus/raft-core.ts
@@ -110,7 +110,7 @@
   }
 
   /** Time of the last message from the leader, in ms of the core's clock; on the leader itself the current time. */
-  get leaderLastHeardMs(): number {
+  get lastLeaderContactMs(): number {
     return this.currentRole === 'leader' ? this.nowMs : this.leaderContactMs;
   }
 
@@ -285,7 +285,7 @@
   }
 
   private handlePreVoteRequest(request: VoteRequest): void {
-    const hasRecentLeader = this.nowMs - this.leaderLastHeardMs < this.options.electionTimeoutMs;
+    const hasRecentLeader = this.nowMs - this.lastLeaderContactMs < this.options.electionTimeoutMs;
     const granted = request.term > this.currentTerm && !hasRecentLeader && this.isLogUpToDate(request);
     const term = granted ? request.term : this.currentTerm;
     this.send({ kind: 'vote-answer', from: this.id, to: request.from, term, preVote: true, granted });
--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -103,7 +103,7 @@
   }
 
   /** Index of the last entry applied to the state machine. */
-  get applied(): number {
+  get appliedIndex(): number {
     return this.applier.appliedIndex;
   }
 
--- a/src/control/control-node.ts
+++ b/src/control/control-node.ts
@@ -187,13 +187,13 @@
     const { core } = this.replica;
     const staleMs = STALENESS_ELECTION_TIMEOUTS * this.settings.timing.electionTimeoutMs;
     const sinceMs = this.runtime.nowMs() - staleMs;
-    return core.leader !== null && core.leaderLastHeardMs > sinceMs && core.upToDateMs > sinceMs;
+    return core.leader !== null && core.lastLeaderContactMs > sinceMs && core.upToDateMs > sinceMs;
   }
 
   /** Whether all committed entries are applied, so that a new watcher receives a complete table. */
   private get canServeWatchers(): boolean {
     const { replica } = this;
-    return this.isCurrent && replica !== null && replica.applied >= replica.core.commitIndex;
+    return this.isCurrent && replica !== null && replica.appliedIndex >= replica.core.commitIndex;
   }
 
   /** Name of the leader as known to this replica, or null. */
@@ -263,7 +263,7 @@
   private createGateway(): DaemonGateway {
     const ports = {
       state: () => this.state,
-      appliedIndex: () => this.replica?.applied ?? 0,
+      appliedIndex: () => this.replica?.appliedIndex ?? 0,
       canServeWatchers: () => this.canServeWatchers,
       isActiveLeader: () => this.leading && this.leadingTerm === this.replica?.core.term,
       leaderName: () => this.leaderName,
--- a/src/control/control-state.ts
+++ b/src/control/control-state.ts
@@ -75,6 +75,6 @@
 }
 
 /** Returns the identifier, in crash records, of the back end's incarnation that a session represents. */
-export function sessionLife(backend: string, session: number): string {
+export function sessionIncarnation(backend: string, session: number): string {
   return `${backend}#${session}`;
 }
--- a/src/control/control-status.ts
+++ b/src/control/control-status.ts
@@ -60,7 +60,7 @@
     leader: node.leaderName,
     members: core?.membership ?? { voters: [], learners: [] },
     commitIndex: core?.commitIndex ?? 0,
-    appliedIndex: node.consensus?.applied ?? 0,
+    appliedIndex: node.consensus?.appliedIndex ?? 0,
     revision: node.state.configuration.revision,
     services: describeServices(node, backends),
     backends,
--- a/src/control/proposal-times.ts
+++ b/src/control/proposal-times.ts
@@ -10,7 +10,7 @@
 }
 
 /** Time that a proposal spent in each stage, in ms; 0 for stages after the last one reached. */
-export interface ProposalSteps {
+export interface ProposalDurations {
   /** In the queue, waiting for the previous batch of events. */
   readonly queueMs: number;
   /** Being written to the leader's own disk. */
@@ -20,10 +20,10 @@
 }
 
 /** Returns the time spent in each stage by a proposal that ended at `endMs`. */
-export function proposalSteps(
+export function proposalDurations(
   { proposedMs, dequeuedMs, syncedMs }: ProposalTimes,
   endMs: number,
-): ProposalSteps {
+): ProposalDurations {
   const dequeued = dequeuedMs ?? endMs;
   const synced = syncedMs ?? endMs;
   return { queueMs: dequeued - proposedMs, syncMs: synced - dequeued, quorumMs: endMs - synced };
--- a/src/control/proposals.ts
+++ b/src/control/proposals.ts
@@ -2,7 +2,7 @@
 import { Err, Ok, type Result } from '../result.js';
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
 import type { CommandOutcome, ControlCommand } from './commands.js';
-import { proposalSteps, type ProposalSteps, type ProposalTimes } from './proposal-times.js';
+import { proposalDurations, type ProposalDurations, type ProposalTimes } from './proposal-times.js';
 
 /** Time in ms after which a proposal is reported as having an unknown outcome. */
 const PROPOSAL_TIMEOUT_MS = 5_000;
@@ -24,7 +24,7 @@
     private readonly runtime: Runtime,
     private readonly submit: (proposalId: string, command: Command) => void,
     /** Called when a proposal has ended, with or without an outcome. */
-    private readonly onEnd: (command: Command, steps: ProposalSteps) => void = () => undefined,
+    private readonly onEnd: (command: Command, durations: ProposalDurations) => void = () => undefined,
   ) {}
 
   /** Proposes a command and waits at most `timeoutMs` for its outcome. */
@@ -38,7 +38,7 @@
       this.pending.set(proposalId, { resolve, cancelTimer, times });
       this.submit(proposalId, command);
     });
-    this.onEnd(command, proposalSteps(times, this.runtime.nowMs()));
+    this.onEnd(command, proposalDurations(times, this.runtime.nowMs()));
     return outcome;
   }
 
--- a/src/control/state-machine.ts
+++ b/src/control/state-machine.ts
@@ -22,7 +22,7 @@
 import { isConfiguredBackend, isConfiguredZone, updateDraining } from './draining-backends.js';
 import { ServiceShards } from './service-shards.js';
 import {
-  sessionLife,
+  sessionIncarnation,
   sessionOfBackend,
   sessionsByBackend,
   type ControlState,
@@ -194,7 +194,7 @@
 
 /** Withdraws the run permits of ended back ends, since they no longer run any request. */
 function withdrawPermitsOf(state: ControlState, closed: readonly Session[]): Change[] {
-  const incarnations = closed.map(({ backend, id }) => sessionLife(backend, id));
+  const incarnations = closed.map(({ backend, id }) => sessionIncarnation(backend, id));
   const changed = withdrawPermits(state.crashRecords, new Set(incarnations));
   return changed.length === 0 ? [] : [{ kind: 'crash-records', changed, removed: [] }];
 }
--- a/src/directory/directory-metrics.ts
+++ b/src/directory/directory-metrics.ts
@@ -8,7 +8,7 @@
   metrics.value('raft_term', 'Current term', () => node.consensus?.core.term ?? 0);
   metrics.value('raft_is_leader', '1 when this replica leads', () => Number(node.leading));
   metrics.value('raft_commit_index', 'Newest committed entry', () => node.consensus?.core.commitIndex ?? 0);
-  metrics.value('raft_applied_index', 'Newest applied entry', () => node.consensus?.applied ?? 0);
+  metrics.value('raft_applied_index', 'Newest applied entry', () => node.consensus?.appliedIndex ?? 0);
   metrics.value(
     'raft_voters',
     'Replicas that vote',
--- a/src/directory/directory-node.ts
+++ b/src/directory/directory-node.ts
@@ -166,7 +166,7 @@
     if (this.replica === null) return false;
     const { core } = this.replica;
     const staleMs = STALE_ELECTION_TIMEOUTS * this.options.settings.timing.electionTimeoutMs;
-    return core.leader !== null && this.options.runtime.nowMs() - core.leaderLastHeardMs < staleMs;
+    return core.leader !== null && this.options.runtime.nowMs() - core.lastLeaderContactMs < staleMs;
   }
 
   /** Whether all that was committed a moment ago is held here, so that daemons may follow this replica. */
--- a/src/directory/directory-reports.ts
+++ b/src/directory/directory-reports.ts
@@ -1,6 +1,6 @@
 /** What a directory replica tells of itself in its log and its latencies. */
 import type { Replica } from '../consensus/replica.js';
-import type { ProposalSteps } from '../control/proposal-times.js';
+import type { ProposalDurations } from '../control/proposal-times.js';
 import { reportCrashes } from '../quarantine/crash-report.js';
 import type { EventLog } from '../telemetry/event-log.js';
 import type { Latencies } from '../telemetry/latencies.js';
@@ -27,7 +27,7 @@
   }
 
   /** Where the time of an operator's change of so many items went, so that a slow one can be explained. */
-  changed(items: number, { queueMs, syncMs, quorumMs }: ProposalSteps): void {
+  changed(items: number, { queueMs, syncMs, quorumMs }: ProposalDurations): void {
     this.latencies.observe('change-queue', CHANGES, queueMs);
     this.latencies.observe('change-sync', CHANGES, syncMs);
     this.latencies.observe('change-quorum', CHANGES, quorumMs);
--- a/src/router/run-guard.ts
+++ b/src/router/run-guard.ts
@@ -3,7 +3,7 @@
  * its back ends with others and cannot keep one free of their requests, so a suspect runs by permit, beside what others send
  * there; it counts as alone where this router ran nothing else.
  */
-import { sessionLife } from '../control/control-state.js';
+import { sessionIncarnation } from '../control/control-state.js';
 import type { SocketAddress } from '../model/socket-address.js';
 import type { RunNotice, RunRequest } from '../quarantine/crash-messages.js';
 import { EndReporter, type EndedLife } from '../quarantine/end-reporter.js';
@@ -163,12 +163,12 @@
 
   private lifeOf({ name, service }: GuardedBackend): EndedLife | null {
     const session = this.ports.sessionOf(name);
-    return session === null ? null : { id: sessionLife(name, session), service, version: NO_VERSION };
+    return session === null ? null : { id: sessionIncarnation(name, session), service, version: NO_VERSION };
   }
 
   private isPresent(life: string): boolean {
     const name = life.slice(0, life.lastIndexOf('#'));
     const session = this.ports.sessionOf(name);
-    return session !== null && sessionLife(name, session) === life;
+    return session !== null && sessionIncarnation(name, session) === life;
   }
 }
--- a/test/consensus/raft-core.test.ts
+++ b/test/consensus/raft-core.test.ts
@@ -183,7 +183,7 @@
   const heardMs = START_MS + 1_000;
   const missing = { ...HEARTBEAT, previousIndex: 7, previousTerm: 1, commitIndex: 7 };
   replica.step({ kind: 'message', message: missing }, heardMs);
-  t.is(replica.leaderLastHeardMs, heardMs);
+  t.is(replica.lastLeaderContactMs, heardMs);
   t.is(replica.upToDateMs, -Infinity);
   const whole = { ...HEARTBEAT, entries: [entry(1, 1)], commitIndex: 1 };
   replica.step({ kind: 'message', message: whole }, heardMs + 100);
