--- a/src/directory/directory-node.ts
+++ b/src/directory/directory-node.ts
@@ -9,7 +9,7 @@
   type ReplicaId,
 } from '../consensus/raft-types.js';
 import { LeaseTable } from '../control/lease-table.js';
-import { readPeerMessage } from '../control/peer-messages.js';
+import { parsePeerMessage } from '../control/peer-messages.js';
 import type { PeerMessage } from '../control/peer-network.js';
 import { Proposals, type ProposalError } from '../control/proposals.js';
 import { formatAddress } from '../model/socket-address.js';
@@ -166,7 +166,7 @@
     if (this.replica === null) return false;
     const { core } = this.replica;
     const staleMs = STALE_ELECTION_TIMEOUTS * this.options.settings.timing.electionTimeoutMs;
-    return core.leader !== null && this.options.runtime.nowMs() - core.leaderLastHeardMs < staleMs;
+    return core.leader !== null && this.options.runtime.nowMs() - core.lastLeaderContactMs < staleMs;
   }
 
   /** Whether this replica recently held everything that was committed, so that daemons may watch it. */
@@ -465,7 +465,7 @@
       this.leaderRequestRelay.handleRelayed(relayed);
       return;
     }
-    const checked = readPeerMessage(message);
+    const checked = parsePeerMessage(message);
     if (checked === null) {
       connection.close('unreadable message');
       return;
--- a/src/directory/directory-reporter.ts
+++ b/src/directory/directory-reporter.ts
@@ -1,6 +1,6 @@
 /** Log events and latency observations of a directory replica. */
 import type { Replica } from '../consensus/replica.js';
-import type { ProposalSteps } from '../control/proposal-times.js';
+import type { ProposalDurations } from '../control/proposal-times.js';
 import { reportCrashes } from '../quarantine/crash-report.js';
 import type { EventLog } from '../telemetry/event-log.js';
 import type { Latencies } from '../telemetry/latencies.js';
@@ -27,7 +27,7 @@
   }
 
   /** Records how long each step of an operator's change of `items` items took, and logs slow changes. */
-  changed(items: number, { queueMs, syncMs, quorumMs }: ProposalSteps): void {
+  changed(items: number, { queueMs, syncMs, quorumMs }: ProposalDurations): void {
     this.latencies.observe('change-queue', CONFIGURATION_LABEL, queueMs);
     this.latencies.observe('change-sync', CONFIGURATION_LABEL, syncMs);
     this.latencies.observe('change-quorum', CONFIGURATION_LABEL, quorumMs);
