--- a/src/sidecar/backend-chooser.ts
+++ b/src/sidecar/backend-chooser.ts
@@ -1,4 +1,4 @@
-/** Chooses the back end for an attempt, by key or by expected time. */
+/** Selects the back end for an attempt: the owner of its key, or the one with the shortest expected time. */
 import { rangeOf } from '../directory/key-ranges.js';
 import type { BackendInstance } from '../directory/directory-state.js';
 import { PACED_FRAME_BYTES } from '../link/link-pacer.js';
@@ -6,73 +6,76 @@
 import type { BackendView } from './backend-view.js';
 import type { DirectoryTable } from './directory-table.js';
 
-/** Bytes a ms of expected time is worth when they would cross zones. */
+/** Answer bytes sent across zones that weigh as much as 1 ms of expected time. */
 const CROSS_ZONE_BYTES_PER_MS = policyIsOn('zone-preference') ? 50 : 500;
 
-/** Largest part of the expected time that chance adds, so that daemons do not all choose the same one. */
-const CHANCE_SHARE = 0.15;
+/** Maximum random share added to the expected time, so that sidecars do not all select the same back end. */
+const MAX_RANDOM_SHARE = 0.15;
 
-/** Time in ms that is added to a back end that failed a moment ago or is leaving. */
-const LAST_RESORT_MS = 1_000_000;
+/** Penalty in ms for a back end that failed recently or is leaving. */
+const LAST_RESORT_PENALTY_MS = 1_000_000;
 
-/** Time in ms that is added to a candidate that did not answer its probe; it goes before those that failed. */
-const UNANSWERED_MS = 100_000;
+/** Penalty in ms for a candidate that did not answer its probe; it is still preferred to one that failed. */
+const UNANSWERED_PENALTY_MS = 100_000;
 
 /**
- * Back ends of the caller's zone that are asked how busy they are. Most of the gain over a choice by chance comes with
- * the second one (Mitzenmacher, "The Power of Two Choices", 2001); other numbers than these two were not measured here.
+ * Number of back ends in the caller's zone that are probed for their load. Most of the gain over a random choice comes
+ * with the second one (Mitzenmacher, "The Power of Two Choices", 2001).
  */
 const NEAR_CANDIDATES = 3;
 
-/** Back ends of other zones that are asked when none of the near ones has room: about one for each other zone. */
+/** Back ends in other zones that are probed when no near one has a free slot: about one for each other zone. */
 const FAR_CANDIDATES = 4;
 
-/** Part of its places up to which a back end is taken to have room by what was told a while ago: others come as well. */
-const KNOWN_ROOM_SHARE = 0.7;
+/**
+ * Share of slots in use up to which an unprobed back end counts as free; the margin allows for other sidecars'
+ * requests.
+ */
+const MAX_KNOWN_FREE_SHARE = 0.7;
 
-/** What a choice is made for. */
+/** Request for which a back end is selected. */
 export interface ChoiceRequest {
   readonly service: string;
-  /** Key of the request, or null where the service is not divided by key. */
+  /** Key of the request; null if the service is not keyed. */
   readonly key: number | null;
   /** Back ends that have refused or failed this request. */
   readonly excluded: ReadonlySet<string>;
-  /** Expected size of the answer, in bytes. */
+  /** Estimated size of the answer, in bytes. */
   readonly answerBytes: number;
-  /** Time that the work usually takes, in ms; null where it is not known. */
+  /** Estimated work time in ms; null if unknown. */
   readonly workMs: number | null;
-  /** Back ends to choose from; null stands for all of the service. */
+  /** Back ends to select from; null for all of the service. */
   readonly candidates: readonly BackendInstance[] | null;
-  /** Candidates that have left a probe unanswered. */
+  /** Candidates that did not answer a probe. */
   readonly unanswered: ReadonlySet<string>;
 }
 
-/** What the chooser needs of its daemon. */
+/** Dependencies that the sidecar provides to the chooser. */
 export interface ChooserPorts {
   readonly table: DirectoryTable;
   readonly zone: string;
-  /** Address of this daemon; answers of the back end beside it do not pass the network link. */
+  /** Address of this sidecar; answers of its local back end do not use the network link. */
   readonly daemonAddress: string;
-  /** What the network link of a daemon carries, in bytes per ms. */
+  /** Bandwidth of a sidecar's network link, in bytes per ms. */
   readonly linkBytesPerMs: number;
   readonly view: (instance: string) => BackendView;
   readonly nowMs: () => number;
-  /** From 0 to below 1. */
+  /** Returns a random number from 0 up to, but not including, 1. */
   readonly random: () => number;
 }
 
-/** Chooses back ends. */
+/** Selects back ends by key ownership or by expected time. */
 export class BackendChooser {
   constructor(private readonly ports: ChooserPorts) {}
 
-  /** The back end to try next; null when there is none. */
+  /** Returns the back end for the next attempt; null if there is none. */
   choose(request: ChoiceRequest): BackendInstance | null {
     const definition = this.ports.table.service(request.service);
     if (definition?.keyed === true && request.key !== null) return this.ownerOf(request.service, request.key);
-    return this.quickest(request);
+    return this.shortestExpected(request);
   }
 
-  /** While a range moves, whoever releases it refuses, and the one it moves to waits for it. */
+  /** Returns the owner of a key. During a handover the previous owner refuses, and the new one waits for its grant. */
   private ownerOf(service: string, key: number): BackendInstance | null {
     const { table } = this.ports;
     const range = rangeOf(table.rangesOf(service), key);
@@ -81,45 +84,45 @@
     return id === null ? null : (table.instance(id) ?? null);
   }
 
-  /** Where the range of a key is moving to; null when it is not moving. */
-  targetOf(service: string, key: number): BackendInstance | null {
+  /** Returns the back end to which the range of a key is moving; null if it is not moving. */
+  moveTargetOf(service: string, key: number): BackendInstance | null {
     const { table } = this.ports;
     const target = rangeOf(table.rangesOf(service), key)?.movingTo ?? null;
     return target === null ? null : (table.instance(target) ?? null);
   }
 
   /**
-   * A few back ends by chance, those in the caller's zone first; those that would be a last resort only if there are no
-   * others. Where a zone has few, the others are compared with them from the start.
+   * Returns a random sample of the back ends in the caller's zone, filled up from other zones where this zone has too
+   * few. Back ends that are a last resort are included only if there are no others.
    */
   nearCandidates(service: string, excluded: ReadonlySet<string>): readonly BackendInstance[] {
     const near = this.sample(service, excluded, NEAR_CANDIDATES, ({ zone }) => zone === this.ports.zone);
-    const missing = policyIsOn('known-first') ? NEAR_CANDIDATES - near.length : 0;
-    if (missing === 0) return near;
-    return [...near, ...this.sample(service, excluded, missing, ({ zone }) => zone !== this.ports.zone)];
+    const missingCount = policyIsOn('known-first') ? NEAR_CANDIDATES - near.length : 0;
+    if (missingCount === 0) return near;
+    return [...near, ...this.sample(service, excluded, missingCount, ({ zone }) => zone !== this.ports.zone)];
   }
 
-  /** A few back ends in other zones, by chance. */
+  /** Returns a random sample of the back ends in other zones. */
   farCandidates(service: string, excluded: ReadonlySet<string>): readonly BackendInstance[] {
     return this.sample(service, excluded, FAR_CANDIDATES, ({ zone }) => zone !== this.ports.zone);
   }
 
-  /** Whether one of the back ends would take a request at once. */
-  hasRoom(instances: readonly BackendInstance[]): boolean {
+  /** Whether one of the back ends would run a request at once, as far as is known. */
+  hasCapacity(instances: readonly BackendInstance[]): boolean {
     const now = this.ports.nowMs();
     return instances.some(
       (instance) =>
-        !this.isLastResort(instance, now) && this.ports.view(instance.id).hasRoom(instance.slots, now),
+        !this.isLastResort(instance, now) && this.ports.view(instance.id).hasCapacity(instance.slots, now),
     );
   }
 
-  /** Whether one of the back ends is known to take a request at once, without being asked. */
-  knowsRoom(instances: readonly BackendInstance[]): boolean {
+  /** Whether a fresh status of one of the back ends shows a free slot, so that no probe is needed. */
+  hasKnownCapacity(instances: readonly BackendInstance[]): boolean {
     const now = this.ports.nowMs();
     return instances.some((instance) => {
       const view = this.ports.view(instance.id);
-      const full = view.busy(now) >= instance.slots * KNOWN_ROOM_SHARE;
-      return view.known(now) && !full && this.hasRoom([instance]);
+      const full = view.busy(now) >= instance.slots * MAX_KNOWN_FREE_SHARE;
+      return view.hasFreshStatus(now) && !full && this.hasCapacity([instance]);
     });
   }
 
@@ -127,29 +130,29 @@
     service: string,
     excluded: ReadonlySet<string>,
     count: number,
-    fits: (instance: BackendInstance) => boolean,
+    matches: (instance: BackendInstance) => boolean,
   ): readonly BackendInstance[] {
     const now = this.ports.nowMs();
-    const fitting = this.ports.table
+    const matching = this.ports.table
       .instancesOf(service)
-      .filter((instance) => !excluded.has(instance.id) && fits(instance));
-    const sound = fitting.filter((instance) => !this.isLastResort(instance, now));
-    return drawSome(sound.length > 0 ? sound : fitting, count, this.ports.random);
+      .filter((instance) => !excluded.has(instance.id) && matches(instance));
+    const healthy = matching.filter((instance) => !this.isLastResort(instance, now));
+    return sampleWithoutReplacement(healthy.length > 0 ? healthy : matching, count, this.ports.random);
   }
 
   private isLastResort(instance: BackendInstance, nowMs: number): boolean {
     const view = this.ports.view(instance.id);
-    return instance.condition !== 'ready' || !view.accepting(nowMs) || view.avoided(nowMs);
+    return instance.condition !== 'ready' || !view.accepting(nowMs) || view.isBackingOff(nowMs);
   }
 
-  private quickest(request: ChoiceRequest): BackendInstance | null {
+  private shortestExpected(request: ChoiceRequest): BackendInstance | null {
     const { service, excluded, candidates, unanswered } = request;
     let best: BackendInstance | null = null;
     let bestMs = Infinity;
     for (const instance of candidates ?? this.ports.table.instancesOf(service)) {
       if (excluded.has(instance.id)) continue;
-      const unansweredMs = unanswered.has(instance.id) ? UNANSWERED_MS : 0;
-      const expectedMs = this.expectedMs(instance, request) + unansweredMs;
+      const penaltyMs = unanswered.has(instance.id) ? UNANSWERED_PENALTY_MS : 0;
+      const expectedMs = this.expectedMs(instance, request) + penaltyMs;
       if (expectedMs >= bestMs) continue;
       best = instance;
       bestMs = expectedMs;
@@ -161,13 +164,13 @@
     const { zone, nowMs, random } = this.ports;
     const view = this.ports.view(instance.id);
     const now = nowMs();
-    const lastResort = this.isLastResort(instance, now) ? LAST_RESORT_MS : 0;
-    const crossing = instance.zone === zone ? 0 : answerBytes / CROSS_ZONE_BYTES_PER_MS;
-    const expected = view.expectedMs(instance.slots, now, workMs) * (1 + random() * CHANCE_SHARE);
-    return expected + crossing + this.sendingMs(instance, answerBytes, view, now) + lastResort;
+    const lastResortMs = this.isLastResort(instance, now) ? LAST_RESORT_PENALTY_MS : 0;
+    const crossZoneMs = instance.zone === zone ? 0 : answerBytes / CROSS_ZONE_BYTES_PER_MS;
+    const randomizedMs = view.expectedMs(instance.slots, now, workMs) * (1 + random() * MAX_RANDOM_SHARE);
+    return randomizedMs + crossZoneMs + this.sendingMs(instance, answerBytes, view, now) + lastResortMs;
   }
 
-  /** Time in ms that the answer will need on the network link of the back end's daemon. */
+  /** Estimated time in ms that the answer takes on the network link of the back end's sidecar. */
   private sendingMs(
     { daemonAddress }: BackendInstance,
     answerBytes: number,
@@ -180,8 +183,12 @@
   }
 }
 
-/** Draws some members by chance, each at most once. */
-function drawSome<T>(members: readonly T[], count: number, random: () => number): readonly T[] {
+/** Draws `count` random members without replacement, or all if there are fewer. */
+function sampleWithoutReplacement<T>(
+  members: readonly T[],
+  count: number,
+  random: () => number,
+): readonly T[] {
   const left = [...members];
   const drawn: T[] = [];
   while (drawn.length < count && left.length > 0) {
--- a/src/sidecar/backend-view.ts
+++ b/src/sidecar/backend-view.ts
@@ -1,115 +1,120 @@
-/** What a calling daemon believes of back ends elsewhere: how busy they are, and whether they can be reached. */
+/** Load and reachability of a back end, as estimated by a calling sidecar. */
 import { fadedPace } from './backend-pace.js';
 import type { StatusHead } from '../link/link-messages.js';
 
-/** Service time that is assumed before any was told, in ms. */
-const ASSUMED_SERVICE_MS = 50;
+/** Service time in ms that is assumed before a status reports one. */
+const DEFAULT_SERVICE_MS = 50;
 
-/** Pauses in ms for which a back end is avoided after failures, by how many came in a row. */
-const AVOID_MS = [0, 100, 300, 600, 1_000];
+/** Backoff in ms after failures, by the number of consecutive failures. */
+const BACKOFF_MS = [0, 100, 300, 600, 1_000];
 
-/** Wait for the network link up to which a back end counts as having room, in ms: some slices of other answers. */
-const ROOM_SEND_WAIT_MS = 40;
+/** Wait in ms for the network link below which a back end counts as free: a few slices of other answers. */
+const MAX_FREE_SEND_WAIT_MS = 40;
 
-/** Wait for a start up to which a cold back end counts as having room, in ms. */
-const ROOM_START_DELAY_MS = 20;
+/** Start delay in ms up to which a cold back end counts as free. */
+const MAX_FREE_START_DELAY_MS = 20;
 
-/** Age in ms at which a status says nothing about places any more. */
-const STATUS_AGE_LIMIT_MS = 2_000;
+/** Age in ms at which a status expires. */
+const MAX_STATUS_AGE_MS = 2_000;
 
-/** Bounds in ms of the age up to which a status still tells about places. Between them it is one service time, since
- * most of what ran then still runs. */
-const LEAST_KNOWN_MS = 50;
-const LONGEST_KNOWN_MS = 500;
+/**
+ * Bounds in ms of the age up to which the slots in a status count as fresh. Between the bounds the limit is one service
+ * time, since most of the requests that ran when the status was sent are still running.
+ */
+const MIN_FRESH_LIMIT_MS = 50;
+const MAX_FRESH_LIMIT_MS = 500;
 
-/** One back end as it is seen from here. */
+/** Estimated state of one back end. */
 export class BackendView {
   private lastStatus: StatusHead | null = null;
-  private statusMs = -Infinity;
-  /** Requests that were sent since the last status. */
+  private statusReceivedMs = -Infinity;
+  /** Requests sent by this sidecar since the newest status. */
   private sentSinceStatus = 0;
-  private failuresInRow = 0;
-  private avoidUntilMs = -Infinity;
-  /** Requests sent from here whose outcome is awaited. */
+  private consecutiveFailures = 0;
+  private backoffUntilMs = -Infinity;
+  /** Requests sent by this sidecar that are still in flight. */
   outstanding = 0;
 
-  /** Newest status. */
+  /** Newest status; null before the first. */
   get status(): StatusHead | null {
     return this.lastStatus;
   }
 
-  /** Age of the newest status, in ms; infinite before the first. */
+  /** Returns the age in ms of the newest status; infinite before the first. */
   statusAgeMs(nowMs: number): number {
-    return nowMs - this.statusMs;
+    return nowMs - this.statusReceivedMs;
   }
 
-  /** Whether the newest status is so young that it need not be asked for. */
-  known(nowMs: number): boolean {
+  /** Whether the newest status is fresh enough to select by without a probe. */
+  hasFreshStatus(nowMs: number): boolean {
     if (this.lastStatus === null) return false;
-    const limitMs = Math.min(LONGEST_KNOWN_MS, Math.max(LEAST_KNOWN_MS, this.lastStatus.serviceMs));
+    const limitMs = Math.min(MAX_FRESH_LIMIT_MS, Math.max(MIN_FRESH_LIMIT_MS, this.lastStatus.serviceMs));
     return this.statusAgeMs(nowMs) <= limitMs;
   }
 
-  /** Whether it takes new requests; what was told long ago counts for nothing, since the daemon may be another now. */
+  /**
+   * Whether the back end accepts new requests. An expired status is ignored, since the sidecar may have been replaced.
+   */
   accepting(nowMs: number): boolean {
-    return this.lastStatus?.accepting !== false || this.statusAgeMs(nowMs) > STATUS_AGE_LIMIT_MS;
+    return this.lastStatus?.accepting !== false || this.statusAgeMs(nowMs) > MAX_STATUS_AGE_MS;
   }
 
-  /** Whether a request sent now would find a free place, and its answer a free network link. */
-  hasRoom(slots: number, nowMs: number): boolean {
-    if (this.startDelayMs(nowMs) > ROOM_START_DELAY_MS) return false;
-    return this.busy(nowMs) < slots && this.sendWaitMs(nowMs) < ROOM_SEND_WAIT_MS;
+  /** Whether a request sent now would find a free slot, and its answer a free network link. */
+  hasCapacity(slots: number, nowMs: number): boolean {
+    if (this.startDelayMs(nowMs) > MAX_FREE_START_DELAY_MS) return false;
+    return this.busy(nowMs) < slots && this.sendWaitMs(nowMs) < MAX_FREE_SEND_WAIT_MS;
   }
 
-  /** Its daemon tells how busy it is. */
+  /** Records a status reported by the back end's sidecar. */
   noteStatus(status: StatusHead, nowMs: number): void {
     this.lastStatus = status;
-    this.statusMs = nowMs;
+    this.statusReceivedMs = nowMs;
     this.sentSinceStatus = 0;
   }
 
-  /** A request was sent there. */
+  /** Records that a request was sent to the back end. */
   noteSent(): void {
     this.outstanding += 1;
     this.sentSinceStatus += 1;
   }
 
-  /** A request sent there has ended. */
+  /** Records that a request sent to the back end has ended. */
   noteEnded(): void {
     this.outstanding = Math.max(0, this.outstanding - 1);
   }
 
-  /** It answered. */
+  /** Records an answer, which ends any backoff. */
   noteSuccess(): void {
-    this.failuresInRow = 0;
-    this.avoidUntilMs = -Infinity;
+    this.consecutiveFailures = 0;
+    this.backoffUntilMs = -Infinity;
   }
 
-  /** It could not be reached, or broke off. */
+  /** Records that the back end could not be reached or interrupted an answer, and starts the backoff. */
   noteFailure(nowMs: number): void {
-    this.failuresInRow = Math.min(this.failuresInRow + 1, AVOID_MS.length - 1);
-    this.avoidUntilMs = nowMs + (AVOID_MS[this.failuresInRow] ?? 0);
+    this.consecutiveFailures = Math.min(this.consecutiveFailures + 1, BACKOFF_MS.length - 1);
+    this.backoffUntilMs = nowMs + (BACKOFF_MS[this.consecutiveFailures] ?? 0);
   }
 
-  /** Whether it failed a moment ago. */
-  avoided(nowMs: number): boolean {
-    return nowMs < this.avoidUntilMs;
+  /** Whether the backoff after a failure is in effect. */
+  isBackingOff(nowMs: number): boolean {
+    return nowMs < this.backoffUntilMs;
   }
 
-  /** Requests that are there, as far as is known. */
+  /** Returns the estimated number of requests running and waiting at the back end. */
   busy(nowMs: number): number {
-    const fresh = this.lastStatus !== null && nowMs - this.statusMs < STATUS_AGE_LIMIT_MS;
-    const told = fresh && this.lastStatus !== null ? this.lastStatus.running + this.lastStatus.waiting : 0;
-    return Math.max(this.outstanding, told + this.sentSinceStatus);
+    const fresh = this.lastStatus !== null && nowMs - this.statusReceivedMs < MAX_STATUS_AGE_MS;
+    const reported =
+      fresh && this.lastStatus !== null ? this.lastStatus.running + this.lastStatus.waiting : 0;
+    return Math.max(this.outstanding, reported + this.sentSinceStatus);
   }
 
-  /** Time in ms that a large answer would wait there for the network link. */
+  /** Returns the reported time in ms that a large answer would wait for the sidecar's network link. */
   sendWaitMs(nowMs: number): number {
-    const fresh = nowMs - this.statusMs < STATUS_AGE_LIMIT_MS;
+    const fresh = nowMs - this.statusReceivedMs < MAX_STATUS_AGE_MS;
     return fresh ? (this.lastStatus?.sendWaitMs ?? 0) : 0;
   }
 
-  /** Time in ms until a cold back end would be sent one more request; 0 where it is not cold. */
+  /** Returns the time in ms until a cold back end would start another request; 0 if it is not cold. */
   startDelayMs(nowMs: number): number {
     const cold = this.lastStatus?.coldStart ?? null;
     const ageMs = this.statusAgeMs(nowMs);
@@ -117,7 +122,7 @@
     return Math.max(0, cold.delayMs + this.sentSinceStatus * cold.intervalMs - ageMs);
   }
 
-  /** How long work takes there now, as a factor on the usual, by what was told last. */
+  /** Returns the estimated current work time as a factor on the usual one, based on the newest status. */
   private paceAt(nowMs: number): number {
     if (this.lastStatus === null) return 1;
     const { pace: now, meanPace: mean } = this.lastStatus;
@@ -125,17 +130,17 @@
   }
 
   /**
-   * Time in ms that a request would take there, waiting included. `workMs` is the time that its own work usually takes;
-   * null where that is not known.
+   * Returns the estimated time in ms that a request would take, including the time in the queue. `workMs` is the
+   * estimated time of its own work at the usual pace; null if unknown.
    */
   expectedMs(slots: number, nowMs: number, workMs: number | null): number {
     const pace = this.paceAt(nowMs);
-    const told = this.lastStatus;
-    const serviceMs = told === null ? ASSUMED_SERVICE_MS : (told.serviceMs / told.pace) * pace;
-    const ownMs = workMs === null ? serviceMs : workMs * pace;
-    const ahead = Math.max(0, this.busy(nowMs) + 1 - slots);
-    // Near its limit a back end is slower, and what is known of it is a little old.
-    const crowding = 1 + 0.5 * Math.min(1, this.busy(nowMs) / slots) ** 2;
-    return ownMs * crowding + (serviceMs * ahead) / slots + this.startDelayMs(nowMs);
+    const status = this.lastStatus;
+    const serviceMs = status === null ? DEFAULT_SERVICE_MS : (status.serviceMs / status.pace) * pace;
+    const ownWorkMs = workMs === null ? serviceMs : workMs * pace;
+    const queuedAhead = Math.max(0, this.busy(nowMs) + 1 - slots);
+    // A back end is slower close to its limit, and its status is slightly outdated.
+    const loadFactor = 1 + 0.5 * Math.min(1, this.busy(nowMs) / slots) ** 2;
+    return ownWorkMs * loadFactor + (serviceMs * queuedAhead) / slots + this.startDelayMs(nowMs);
   }
 }
--- a/src/sidecar/caller-request.ts
+++ b/src/sidecar/caller-request.ts
@@ -1,47 +1,48 @@
-/** A caller's request, and where its outcome goes. */
+/** A caller's request, its possible outcomes and the sink that receives them. */
 import type { AnswerHead } from '../link/link-messages.js';
 import type { Route } from './route-table.js';
 
-/** A caller's request. */
+/** A validated request, ready to be forwarded. */
 export interface CallerRequest {
   readonly requestId: string;
   readonly method: string;
   /** Path and query. */
   readonly path: string;
-  /** Names and values in turn, ready to be passed on. */
+  /** Header names and values alternately, ready to be forwarded. */
   readonly headers: readonly string[];
   readonly body: Buffer;
   readonly route: Route;
   readonly service: string;
   readonly key: number | null;
-  /** Time that the caller waits, in ms from arrival. */
+  /** Time in ms from arrival for which the caller waits. */
   readonly deadlineMs: number;
-  /** Time in ms that the caller has spent on earlier tries, as far as can be told. */
+  /** Estimated time in ms that the caller has spent on earlier attempts. */
   readonly spentMs: number;
   readonly arrivedMs: number;
 }
 
-/** Why a quarantined request is not run. */
-export const QUARANTINE_REASON = 'back ends have ended under this request; it is not run again';
+/** Reason given for refusing a quarantined request. */
+export const QUARANTINE_REASON = 'back ends ended while running this request; it is not run again';
 
-/** How a request ends without a back end's answer. */
+/** Outcome of a request that ends without an answer of a back end. */
 export type GivenUp =
-  /** It was not run and never will be. */
+  /** The request was not run and will not be. */
   | { readonly kind: 'not-run'; readonly reason: string; readonly retryAfterMs: number }
-  /** It was not run and must not be sent again: it has ended the back ends that ran it. */
+  /** The request was not run and must not be retried: it has ended the back ends that ran it. */
   | { readonly kind: 'quarantined'; readonly reason: string }
-  /** It may have run. */
+  /** The request may have run. */
   | { readonly kind: 'unknown'; readonly reason: string; readonly timedOut: boolean };
 
-/** Where the outcome goes. Exactly one final call is made, unless the request was cancelled. */
+/** Receives the outcome of a request. Exactly one final call is made, unless the request is cancelled. */
 export interface CallerSink {
-  /** The answer begins; final when nothing more follows. */
+  /** Starts the answer; final if no more of the body follows. */
   answer(head: AnswerHead, body: Buffer): void;
+  /** Passes on a further part of the body. */
   body(chunk: Buffer): void;
-  /** Final: the answer is whole. */
+  /** Final: the answer is complete. */
   end(): void;
-  /** Final: the answer broke off after it had begun. */
+  /** Final: the answer was interrupted after it had started. */
   breakOff(): void;
-  /** Final: there is no answer. */
+  /** Final: no back end answered. */
   giveUp(outcome: GivenUp): void;
 }
--- a/src/sidecar/caller-requests.ts
+++ b/src/sidecar/caller-requests.ts
@@ -1,4 +1,4 @@
-/** The requests of callers that are under way at one daemon. */
+/** The callers' requests that are in flight at one sidecar. */
 import { QUARANTINE_REASON, type CallerRequest, type CallerSink } from './caller-request.js';
 import {
   ownAnswer,
@@ -14,19 +14,19 @@
 import type { RequestIntake } from './request-intake.js';
 import { RetryAllowance, type RetryBudget } from './retry-allowance.js';
 
-/** What the requests need of their daemon. */
+/** Dependencies that the sidecar provides. */
 export interface CallerRequestsPorts {
   readonly intake: RequestIntake;
   readonly table: DirectoryTable;
   readonly forwarding: Omit<ForwarderPorts, 'takeRepeat' | 'mayRepeat'>;
   readonly retryBudget: RetryBudget;
-  /** Daemons that share the retry budget. */
+  /** Number of sidecars that share the retry budget. */
   readonly daemons: () => number;
 }
 
-/** All of them. */
+/** Starts callers' requests, tracks those in flight and keeps the retry allowance of each service. */
 export class CallerRequests {
-  private readonly underWay = new Set<ForwardedRequest>();
+  private readonly requestsInFlight = new Set<ForwardedRequest>();
   private readonly allowances = new Map<string, RetryAllowance>();
   private readonly forwarderPorts: ForwarderPorts;
 
@@ -37,38 +37,38 @@
     const { forwarding, daemons } = ports;
     this.forwarderPorts = {
       ...forwarding,
-      mayRepeat: (request) => this.quarantineOf(request) === null,
+      mayRepeat: (request) => this.quarantinedFingerprint(request) === null,
       takeRepeat: (service) => this.allowanceOf(service).takeRepeat(forwarding.runtime.steadyMs(), daemons()),
     };
   }
 
-  /** Takes a request, or answers it at once. */
+  /** Starts forwarding a request, or returns an immediate answer. */
   take(incoming: IncomingRequest, sink: CallerSink): TakenRequest | OwnAnswer {
     const prepared = this.ports.intake.prepare(incoming);
     if ('statusCode' in prepared) return prepared;
-    const refused = this.refusedForGood(prepared);
+    const refused = this.quarantineAnswer(prepared);
     if (refused !== null) return refused;
     this.allowanceOf(prepared.service).noteRequest(this.ports.forwarding.runtime.steadyMs());
     const forwarded = new ForwardedRequest(
       prepared,
-      forgettingSink(sink, () => this.underWay.delete(forwarded)),
+      sinkWithCompletion(sink, () => this.requestsInFlight.delete(forwarded)),
       this.forwarderPorts,
       this.counters,
     );
-    this.underWay.add(forwarded);
+    this.requestsInFlight.add(forwarded);
     forwarded.start();
     return {
       cancel: () => {
-        this.underWay.delete(forwarded);
+        this.requestsInFlight.delete(forwarded);
         forwarded.cancel();
       },
     };
   }
 
-  /** A request that ended every back end which ran it gets its final answer before it costs anybody anything. */
-  private refusedForGood(request: CallerRequest): OwnAnswer | null {
+  /** Returns the final answer to a quarantined request before any work is spent on it; null if it may run. */
+  private quarantineAnswer(request: CallerRequest): OwnAnswer | null {
     const { forwarding } = this.ports;
-    const fingerprint = this.quarantineOf(request);
+    const fingerprint = this.quarantinedFingerprint(request);
     if (fingerprint === null) return null;
     this.counters.quarantined += 1;
     const { requestId, route, service } = request;
@@ -76,47 +76,47 @@
     return ownAnswer(OWN_STATUS.quarantined, QUARANTINE_REASON);
   }
 
-  /** The fingerprint of a request that no back end of its service may run; null where one may. */
-  private quarantineOf(request: CallerRequest): string | null {
+  /** Returns the fingerprint of a request that no back end of its service may run; null if one may. */
+  private quarantinedFingerprint(request: CallerRequest): string | null {
     const { table } = this.ports;
     const identified = { ...request, host: headerValue(request.headers, 'host') };
     return table.quarantine.refusedEverywhere(identified, () => table.versionsOf(request.service));
   }
 
-  /** The table has changed; requests may wait for that. */
+  /** Notifies the requests in flight, which may be waiting for a change of the table. */
   tableChanged(): void {
-    for (const request of [...this.underWay]) request.tableChanged();
+    for (const request of [...this.requestsInFlight]) request.tableChanged();
   }
 
   private allowanceOf(service: string): RetryAllowance {
-    const known = this.allowances.get(service);
-    if (known !== undefined) return known;
+    const existing = this.allowances.get(service);
+    if (existing !== undefined) return existing;
     const allowance = new RetryAllowance(this.ports.retryBudget);
     this.allowances.set(service, allowance);
     return allowance;
   }
 }
 
-/** A sink that also tells that a request has ended. */
-function forgettingSink(sink: CallerSink, forget: () => void): CallerSink {
+/** Wraps a sink so that `onComplete` is called before its final call. */
+function sinkWithCompletion(sink: CallerSink, onComplete: () => void): CallerSink {
   return {
     answer: (head, body) => {
-      if (!head.moreFollows) forget();
+      if (!head.moreFollows) onComplete();
       sink.answer(head, body);
     },
     body: (chunk) => {
       sink.body(chunk);
     },
     end: () => {
-      forget();
+      onComplete();
       sink.end();
     },
     breakOff: () => {
-      forget();
+      onComplete();
       sink.breakOff();
     },
     giveUp: (outcome) => {
-      forget();
+      onComplete();
       sink.giveUp(outcome);
     },
   };
--- a/src/sidecar/caller-server.ts
+++ b/src/sidecar/caller-server.ts
@@ -1,6 +1,6 @@
 /**
- * Takes callers' requests over HTTP/1.1 with Node's own server. Neither Fastify nor undici is used here: a daemon on
- * a small machine pays for every library at each of its starts, and the bodies only pass through.
+ * Accepts callers' requests over HTTP/1.1 with Node's built-in server. Fastify and undici are not used, because every
+ * library adds to the start-up time of a sidecar on a small machine, and bodies are only passed through.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
@@ -10,54 +10,54 @@
 import { Err, Ok, type Result } from '../result.js';
 import type { CallerSink, GivenUp } from './caller-request.js';
 
-/** Largest header block that is read at all, in bytes; the configured limit is checked after that. */
-const LARGEST_HEADER_BYTES = 128 * 1024;
+/** Maximum size of a header block that is read, in bytes; the configured limit is checked afterwards. */
+const MAX_HEADER_BLOCK_BYTES = 128 * 1024;
 
-/** Time in ms by which connections outlast the idle time that callers are told. */
-const IDLE_MARGIN_MS = 2_000;
+/** Time in ms for which idle connections stay open beyond the configured idle timeout. */
+const KEEP_ALIVE_MARGIN_MS = 2_000;
 
-/** Pause between looks for connections that are too slow, in ms. */
-const SLOW_CHECK_MS = 1_000;
+/** Interval in ms between checks for connections that exceed a timeout. */
+const CONNECTION_CHECK_INTERVAL_MS = 1_000;
 
 const MS_PER_SECOND = 1_000;
 
-/** A request whose body is whole. */
+/** A request whose body was received completely. */
 export interface IncomingRequest {
   readonly method: string;
   /** Path and query. */
   readonly path: string;
   readonly host: string;
-  /** Names and values in turn, as they came. */
+  /** Header names and values alternately, as received. */
   readonly headers: readonly string[];
   readonly body: Buffer;
 }
 
-/** An answer of this daemon's own. */
+/** An answer that the sidecar itself generates. */
 export interface OwnAnswer {
   readonly statusCode: number;
   readonly retryAfterMs: number | null;
   readonly reason: string;
 }
 
-/** A request that was taken. */
+/** Handle of a request that is being forwarded. */
 export interface TakenRequest {
-  /** The caller has gone. */
+  /** Cancels the request after its caller has disconnected. */
   cancel(): void;
 }
 
-/** What the server needs of its daemon. */
+/** Dependencies that the sidecar provides to the server. */
 export interface CallerServerPorts {
   readonly limits: () => LimitsDefinition;
-  /** Whether connections are to be closed after their present request. */
+  /** Whether connections are to be closed after their current request. */
   readonly closing: () => boolean;
-  /** Takes a request, or answers it at once. */
+  /** Starts forwarding a request, or returns an immediate answer. */
   readonly take: (request: IncomingRequest, sink: CallerSink) => TakenRequest | OwnAnswer;
 }
 
-/** Statuses of this daemon's own answers. */
+/** HTTP statuses of the answers that the sidecar itself generates. */
 export const OWN_STATUS = {
   badRequest: 400,
-  /** Final for every caller: coming back cannot help. */
+  /** A client error, so that callers do not retry. */
   quarantined: 400,
   noRoute: 404,
   bodyTooLarge: 413,
@@ -67,38 +67,42 @@
   timeUp: 504,
 } as const;
 
-/** A listener for callers. */
+/** HTTP server for callers. */
 export class CallerServer {
   private readonly server: Server;
-  private active = 0;
+  private activeCount = 0;
 
   constructor(private readonly ports: CallerServerPorts) {
     this.server = createServer(
-      { maxHeaderSize: LARGEST_HEADER_BYTES, connectionsCheckingInterval: SLOW_CHECK_MS, noDelay: true },
+      {
+        maxHeaderSize: MAX_HEADER_BLOCK_BYTES,
+        connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
+        noDelay: true,
+      },
       (request, response) => {
         this.receive(request, response);
       },
     );
     this.server.requestTimeout = 0;
     this.server.on('clientError', (error: NodeJS.ErrnoException, socket: Socket) => {
-      refuseBroken(error, socket);
+      rejectUnreadable(error, socket);
     });
     this.applyLimits();
   }
 
-  /** Requests that have no whole answer yet. */
+  /** Number of requests without a complete answer. */
   get activeRequests(): number {
-    return this.active;
+    return this.activeCount;
   }
 
-  /** Takes over limits that have changed. */
+  /** Applies the configured timeouts to the server. */
   applyLimits(): void {
     const { headerTimeoutMs, idleTimeoutMs } = this.ports.limits();
     this.server.headersTimeout = headerTimeoutMs;
-    this.server.keepAliveTimeout = idleTimeoutMs + IDLE_MARGIN_MS;
+    this.server.keepAliveTimeout = idleTimeoutMs + KEEP_ALIVE_MARGIN_MS;
   }
 
-  /** Starts listening; the error names the address. */
+  /** Starts listening; the error message names the address. */
   async listen(address: SocketAddress): Promise<Result<void, string>> {
     return await new Promise((resolve) => {
       this.server.once('error', (error) => {
@@ -110,7 +114,7 @@
     });
   }
 
-  /** Takes no more connections, and closes those that no request is on. */
+  /** Stops accepting connections and closes idle ones. */
   stopListening(): void {
     this.server.close();
     this.server.closeIdleConnections();
@@ -123,20 +127,20 @@
   }
 
   private receive(request: IncomingMessage, response: ServerResponse): void {
-    this.active += 1;
-    let taken: TakenRequest | null = null;
+    this.activeCount += 1;
+    let forwarded: TakenRequest | null = null;
     response.once('close', () => {
-      this.active -= 1;
-      if (!response.writableFinished) taken?.cancel();
+      this.activeCount -= 1;
+      if (!response.writableFinished) forwarded?.cancel();
     });
     request.on('error', () => undefined);
     response.on('error', () => undefined);
     if (headerBytes(request.rawHeaders) > this.ports.limits().maxHeaderBytes) {
-      this.answerOwn(response, ownAnswer(OWN_STATUS.headersTooLarge, 'the headers are too large'));
+      this.sendLocalAnswer(response, ownAnswer(OWN_STATUS.headersTooLarge, 'the headers are too large'));
       return;
     }
     this.readBody(request, response, (body) => {
-      taken = this.pass(request, response, body);
+      forwarded = this.dispatch(request, response, body);
     });
   }
 
@@ -152,14 +156,14 @@
       request.removeAllListeners('data');
       request.removeAllListeners('end');
       request.resume();
-      this.answerOwn(response, ownAnswer(OWN_STATUS.bodyTooLarge, 'the body is too large'));
+      this.sendLocalAnswer(response, ownAnswer(OWN_STATUS.bodyTooLarge, 'the body is too large'));
     });
     request.on('end', () => {
       done(chunks.length === 1 && chunks[0] !== undefined ? chunks[0] : Buffer.concat(chunks));
     });
   }
 
-  private pass(request: IncomingMessage, response: ServerResponse, body: Buffer): TakenRequest | null {
+  private dispatch(request: IncomingMessage, response: ServerResponse, body: Buffer): TakenRequest | null {
     if (response.destroyed) return null;
     const incoming: IncomingRequest = {
       method: request.method ?? 'GET',
@@ -168,9 +172,9 @@
       headers: request.rawHeaders,
       body,
     };
-    const taken = this.ports.take(incoming, this.makeSink(response));
-    if ('cancel' in taken) return taken;
-    this.answerOwn(response, taken);
+    const result = this.ports.take(incoming, this.makeSink(response));
+    if ('cancel' in result) return result;
+    this.sendLocalAnswer(response, result);
     return null;
   }
 
@@ -191,7 +195,7 @@
         response.destroy();
       },
       giveUp: (outcome) => {
-        this.answerOwn(response, answerGivenUp(outcome));
+        this.sendLocalAnswer(response, answerGivenUp(outcome));
       },
     };
   }
@@ -201,14 +205,15 @@
     response.sendDate = false;
     const headers = [...head.headers];
     if (!head.framed) {
-      // Nobody can tell whether it is whole, so it must not be given a length that vouches for it.
+      // The body's completeness cannot be verified, so it is sent without a length or chunked framing that would attest
+      // it.
       response.useChunkedEncodingByDefault = false;
       response.shouldKeepAlive = false;
     } else if (head.contentLength !== null) headers.push('content-length', String(head.contentLength));
     response.writeHead(head.statusCode, headers);
   }
 
-  private answerOwn(response: ServerResponse, answer: OwnAnswer): void {
+  private sendLocalAnswer(response: ServerResponse, answer: OwnAnswer): void {
     if (response.headersSent || response.destroyed) return;
     if (this.ports.closing()) response.shouldKeepAlive = false;
     const headers = ['content-type', 'text/plain'];
@@ -222,12 +227,12 @@
   }
 }
 
-/** An answer that says nothing of when to come back. */
+/** Creates an answer without a retry-after time. */
 export function ownAnswer(statusCode: number, reason: string): OwnAnswer {
   return { statusCode, reason, retryAfterMs: null };
 }
 
-/** The answer to a request that ended without a back end's answer. */
+/** Returns the answer to a request that ended without an answer of a back end. */
 export function answerGivenUp(outcome: GivenUp): OwnAnswer {
   if (outcome.kind === 'not-run') {
     const { reason, retryAfterMs } = outcome;
@@ -244,8 +249,8 @@
   return bytes;
 }
 
-/** The request could not be read at all, so nothing of it was passed on. */
-function refuseBroken(error: NodeJS.ErrnoException, socket: Socket): void {
+/** Rejects a request that could not be parsed; nothing of it was forwarded. */
+function rejectUnreadable(error: NodeJS.ErrnoException, socket: Socket): void {
   if (error.code === 'ECONNRESET' || !socket.writable) {
     socket.destroy();
     return;
--- a/src/sidecar/forwarder-counters.ts
+++ b/src/sidecar/forwarder-counters.ts
@@ -1,15 +1,15 @@
-/** Counters of the requests that one daemon has taken from callers. */
+/** Counters of the requests that one sidecar has received from callers. */
 
-/** Names of the classes by which ended requests are counted: how many daemons refused them, from 0 up. */
+/** Classes of ended requests by the number of refusals. */
 const REFUSAL_CLASSES = ['0', '1', '2-3', '4-7', '8+'] as const;
 
-/** Least number of refusals of each class after the first. */
-const CLASS_STARTS = [1, 2, 4, 8] as const;
+/** Minimum number of refusals of each class after the first. */
+const CLASS_MIN_REFUSALS = [1, 2, 4, 8] as const;
 
-/** A class of ended requests. */
+/** A class of ended requests by the number of refusals. */
 export type RefusalClass = (typeof REFUSAL_CLASSES)[number];
 
-/** Counters of all requests of a daemon. */
+/** Counters of all requests of a sidecar. */
 export interface ForwarderCounters {
   attempts: number;
   repeats: number;
@@ -17,17 +17,17 @@
   notRun: number;
   unknown: number;
   cancelled: number;
-  /** Requests that were refused for good, since back ends ended under them. */
+  /** Requests refused permanently because they have ended the back ends that ran them. */
   quarantined: number;
-  /** Ended requests whose caller had been refused before. */
+  /** Ended requests that were callers' retries. */
   returned: number;
-  /** Of these, requests that were answered. */
+  /** Callers' retries that were answered. */
   returnedAnswered: number;
-  /** Ended requests, by how many daemons had refused them. */
+  /** Ended requests by the number of sidecars that refused them. */
   readonly byRefusals: Record<RefusalClass, number>;
 }
 
-/** New counters. */
+/** Creates counters that are all zero. */
 export function forwarderCounters(): ForwarderCounters {
   return {
     attempts: 0,
@@ -43,8 +43,8 @@
   };
 }
 
-/** A request has ended that so many daemons had refused. */
-export function noteRefusals(counters: ForwarderCounters, refusals: number): void {
-  const at = CLASS_STARTS.filter((start) => refusals >= start).length;
-  counters.byRefusals[REFUSAL_CLASSES[at] ?? '8+'] += 1;
+/** Counts an ended request in the class of its number of refusals. */
+export function countRefusals(counters: ForwarderCounters, refusals: number): void {
+  const classIndex = CLASS_MIN_REFUSALS.filter((start) => refusals >= start).length;
+  counters.byRefusals[REFUSAL_CLASSES[classIndex] ?? '8+'] += 1;
 }
--- a/src/sidecar/header-dialect.ts
+++ b/src/sidecar/header-dialect.ts
@@ -1,31 +1,31 @@
 /**
- * Names of the headers that callers and back ends use. The product has names of its own; an adapter for a platform
- * gives the platform's. All names are in lower case.
+ * Names of the headers that callers and back ends use. The defaults are specific to this product; a platform adapter
+ * supplies those of its platform. All names are in lower case.
  */
 
-/** Names of headers. */
+/** Header names, and the parser of the pace header. */
 export interface HeaderDialect {
-  /** Id of a request, given by its caller and carried back by every answer. */
+  /** Request id, set by the caller and returned with every answer. */
   readonly requestId: string;
-  /** Time left for a request, in ms. */
+  /** Time in ms left for the request. */
   readonly deadlineMs: string;
   /** Key of a request to a keyed service. */
   readonly key: string;
-  /** Id of the back end that is meant; another one refuses the request. */
+  /** Id of the back end to which the request is addressed; any other refuses it. */
   readonly expectedInstance: string;
-  /** Service that a request comes from. */
+  /** Service of the caller. */
   readonly caller: string;
-  /** On an answer: the back end did not run the request. */
+  /** Answer header: the back end did not run the request. */
   readonly notRun: string;
-  /** On an answer: the back end's mark that the answer is its own. */
+  /** Answer header: the back end's seal, which marks the answer as its own. */
   readonly seal: string;
-  /** On an answer: how long work takes at the back end at this moment. */
+  /** Answer header: current work time at the back end. */
   readonly pace: string;
-  /** Reads `pace` as a factor on the usual time; null when it tells none, NaN when it cannot be read. */
+  /** Parses the pace header as a factor on the usual work time; null if it states none, NaN if it cannot be parsed. */
   readonly readPace: (value: string) => number | null;
 }
 
-/** The product's own names. */
+/** Default header names. */
 export const DEFAULT_HEADER_DIALECT: HeaderDialect = {
   requestId: 'aldertide-request-id',
   deadlineMs: 'aldertide-deadline-ms',
@@ -38,7 +38,7 @@
   readPace: Number,
 };
 
-/** Headers that concern one connection only (RFC 9110, 7.6.1). */
+/** Hop-by-hop headers, which apply to one connection only (RFC 9110, 7.6.1). */
 export const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
@@ -51,28 +51,28 @@
   'upgrade',
 ]);
 
-/** Value of a header in a list of names and values in turn; null when it is missing. */
+/** Returns the value of a header in a list of alternating names and values; null if it is missing. */
 export function headerValue(headers: readonly string[], name: string): string | null {
-  for (let at = 0; at + 1 < headers.length; at += 2) {
-    if (headers[at]?.toLowerCase() === name) return headers[at + 1] ?? null;
+  for (let index = 0; index + 1 < headers.length; index += 2) {
+    if (headers[index]?.toLowerCase() === name) return headers[index + 1] ?? null;
   }
   return null;
 }
 
-/** The headers without those that concern one connection, those it names, and those in `dropped`. */
+/** Returns the headers without hop-by-hop headers, those that `Connection` names, and those in `dropped`. */
 export function endToEndHeaders(headers: readonly string[], dropped: ReadonlySet<string>): string[] {
-  const named = namedByConnection(headers);
+  const named = headersNamedByConnection(headers);
   const kept: string[] = [];
-  for (let at = 0; at + 1 < headers.length; at += 2) {
-    const name = headers[at] ?? '';
+  for (let index = 0; index + 1 < headers.length; index += 2) {
+    const name = headers[index] ?? '';
     const lower = name.toLowerCase();
     if (CONNECTION_HEADERS.has(lower) || dropped.has(lower) || named.has(lower)) continue;
-    kept.push(name, headers[at + 1] ?? '');
+    kept.push(name, headers[index + 1] ?? '');
   }
   return kept;
 }
 
-function namedByConnection(headers: readonly string[]): ReadonlySet<string> {
+function headersNamedByConnection(headers: readonly string[]): ReadonlySet<string> {
   const value = headerValue(headers, 'connection');
   if (value === null) return new Set();
   return new Set(value.split(',').map((token) => token.trim().toLowerCase()));
--- a/src/sidecar/link-outlook.ts
+++ b/src/sidecar/link-outlook.ts
@@ -1,59 +1,59 @@
 /**
- * How long an answer would wait for the network link of this daemon. Answers that are still being worked on will stand
- * before it as well: a back end makes large answers faster than a slow link carries them.
+ * Estimates how long an answer would wait for the network link of this sidecar. Answers that are still being produced
+ * count as well, since a back end produces large answers faster than a slow link carries them.
  */
 import { PACED_FRAME_BYTES, type LinkPacer } from '../link/link-pacer.js';
 import { policyIsOn } from '../policy-switches.js';
 
-/** The part of a pacer that is needed here. */
+/** The part of a link pacer that the estimate uses. */
 export type LinkQueue = Pick<LinkPacer, 'backlogMs' | 'sendingMs'>;
 
-/** What is to be expected of the network link. `Owner` names who will send an answer. */
+/** Estimates waits for the network link. `Owner` identifies the request whose answer is expected. */
 export class LinkOutlook<Owner> {
-  /** Time on the link in ms of answers that were accepted and are not on the link yet. */
-  private readonly expected = new Map<Owner, number>();
+  /** Estimated time on the link, in ms, of each expected answer that is not on the link yet. */
+  private readonly expectedByOwner = new Map<Owner, number>();
   private expectedMs = 0;
 
-  /** `queue` is null where the link is fast. */
+  /** `queue` is null if the link is fast. */
   constructor(private readonly queue: LinkQueue | null) {}
 
-  /** Time in ms until the link is free of what waits for it now and of what was accepted. */
+  /** Time in ms until the link has carried its backlog and all expected answers. */
   get waitMs(): number {
     return this.queue === null ? 0 : this.queue.backlogMs + this.expectedMs;
   }
 
-  /** The same without what one owner will send itself. */
+  /** Returns the wait in ms without the expected answer of one owner. */
   waitMsBeside(owner: Owner): number {
-    return Math.max(0, this.waitMs - this.expectedOf(owner));
+    return Math.max(0, this.waitMs - this.expectedMsOf(owner));
   }
 
-  /** An answer of about this size will come. */
+  /** Adds an expected answer of about `bytes`. */
   accept(owner: Owner, bytes: number): void {
     if (this.queue === null || bytes < PACED_FRAME_BYTES || !policyIsOn('expected-answers')) return;
     this.forget(owner);
     const sendingMs = this.queue.sendingMs(bytes);
-    this.expected.set(owner, sendingMs);
+    this.expectedByOwner.set(owner, sendingMs);
     this.expectedMs += sendingMs;
   }
 
-  /** The answer is on the link, or will not come. */
+  /** Removes an expected answer that is on the link now, or that will not be sent. */
   forget(owner: Owner): void {
-    this.expectedMs -= this.expected.get(owner) ?? 0;
-    this.expected.delete(owner);
-    if (this.expected.size === 0) this.expectedMs = 0;
+    this.expectedMs -= this.expectedByOwner.get(owner) ?? 0;
+    this.expectedByOwner.delete(owner);
+    if (this.expectedByOwner.size === 0) this.expectedMs = 0;
   }
 
   /**
-   * Time in ms that an answer will need to pass the link once it is made; 0 where it does not wait. What stands before
-   * it passes while it is made, which takes `workMs`.
+   * Returns the estimated time in ms from the end of the work on an answer until the link has carried it; 0 for answers
+   * that are not paced. The queue ahead of it drains during the work, which takes `workMs`.
    */
   sendMs(owner: Owner | null, bytes: number, workMs: number): number {
     if (this.queue === null || bytes < PACED_FRAME_BYTES) return 0;
-    const aheadMs = this.queue.backlogMs + this.expectedMs - this.expectedOf(owner);
-    const passedMs = policyIsOn('expected-answers') ? workMs : 0;
-    return Math.max(0, aheadMs - passedMs) + this.queue.sendingMs(bytes);
+    const aheadMs = this.queue.backlogMs + this.expectedMs - this.expectedMsOf(owner);
+    const drainedMs = policyIsOn('expected-answers') ? workMs : 0;
+    return Math.max(0, aheadMs - drainedMs) + this.queue.sendingMs(bytes);
   }
-  private expectedOf(owner: Owner | null): number {
-    return owner === null ? 0 : (this.expected.get(owner) ?? 0);
+  private expectedMsOf(owner: Owner | null): number {
+    return owner === null ? 0 : (this.expectedByOwner.get(owner) ?? 0);
   }
 }
--- a/src/sidecar/peer-daemons.ts
+++ b/src/sidecar/peer-daemons.ts
@@ -1,4 +1,4 @@
-/** Links to the other daemons, and what is believed of the back ends beside them. */
+/** Links to the sidecars of all back ends, and the estimated state of those back ends. */
 import type { BackendInstance } from '../directory/directory-state.js';
 import { parseAddress } from '../directory/replica-address.js';
 import type { Link, LinkClientHandlers, LinkRoute } from '../link/link-client.js';
@@ -10,23 +10,23 @@
 import type { EventLog } from '../telemetry/event-log.js';
 import { BackendView } from './backend-view.js';
 
-/** What the peers need of their daemon. */
+/** Dependencies that the sidecar provides. */
 export interface PeerDaemonsPorts {
   readonly runtime: Runtime;
   readonly log: EventLog;
-  /** Opens a link when it is first used. */
+  /** Opens a link; called when a peer is first used. */
   readonly dialLink: (route: LinkRoute, handlers: LinkClientHandlers) => Link;
-  /** Local IP address to dial from; null leaves that to the system. */
+  /** Local IP address to dial from; null to let the system choose. */
   readonly dialFrom: string | null;
-  /** Where a daemon is taken to be whose address cannot be read. */
+  /** Address of this sidecar's own link server, also used for a peer whose address cannot be parsed. */
   readonly ownLinks: SocketAddress;
-  /** Paces large frames over a slow network link; null where it is fast. */
+  /** Paces large frames on a slow network link; null if the link is fast. */
   readonly pacer: LinkPacer | null;
-  /** A back end's daemon has told how busy it is, outside of an answer. */
+  /** Called when a peer reports the status of its back end outside of an answer. */
   readonly onStatus: (instance: string) => void;
 }
 
-/** The daemons beside all registered back ends, this one included. */
+/** The sidecars of all registered back ends, including this one. */
 export class PeerDaemons {
   private readonly links = new Map<string, Link>();
   private readonly views = new Map<string, BackendView>();
@@ -34,33 +34,33 @@
 
   constructor(private readonly ports: PeerDaemonsPorts) {}
 
-  /** Daemons beside back ends, this one included. */
+  /** Number of sidecars with a registered back end, including this one; at least 1. */
   get count(): number {
     return this.addressCount;
   }
 
-  /** What is believed of a back end. */
+  /** Returns the estimated state of a back end. */
   viewOf(instance: string): BackendView {
-    const known = this.views.get(instance);
-    if (known !== undefined) return known;
+    const existing = this.views.get(instance);
+    if (existing !== undefined) return existing;
     const view = new BackendView();
     this.views.set(instance, view);
     return view;
   }
 
-  /** The link to the daemon beside a back end. */
+  /** Returns the link to the sidecar of a back end, opened on first use. */
   linkTo({ daemonAddress }: BackendInstance): Link {
-    const known = this.links.get(daemonAddress);
-    if (known !== undefined) return known;
+    const existing = this.links.get(daemonAddress);
+    if (existing !== undefined) return existing;
     const { dialFrom, ownLinks, pacer } = this.ports;
     const address = parseAddress(daemonAddress) ?? ownLinks;
-    // What stays on this machine does not pass the network link.
+    // Traffic within this machine does not use the network link.
     const isOwn = address.host === ownLinks.host;
     const usedPacer = isOwn || !policyIsOn('link-accounting') ? null : pacer;
     const route = { address, localAddress: dialFrom, pacer: usedPacer };
     const link = this.ports.dialLink(route, {
       onStatus: (status) => {
-        this.noteStatus(status);
+        this.recordStatus(status);
       },
       onDisconnect: (reason) => {
         this.ports.log.event('link-lost', { daemon: daemonAddress, reason });
@@ -70,7 +70,7 @@
     return link;
   }
 
-  /** Closes links to daemons that are beside no registered back end, and forgets back ends that are gone. */
+  /** Closes idle links to sidecars without a registered back end, and discards the state of removed back ends. */
   keepOnly(instances: Iterable<BackendInstance>): void {
     const ids = new Set<string>();
     const addresses = new Set<string>();
@@ -89,12 +89,12 @@
     }
   }
 
-  /** Closes all links for good. */
+  /** Closes all links permanently. */
   stop(): void {
     for (const link of this.links.values()) link.stop();
   }
 
-  private noteStatus(status: StatusHead): void {
+  private recordStatus(status: StatusHead): void {
     this.viewOf(status.instance).noteStatus(status, this.ports.runtime.nowMs());
     this.ports.onStatus(status.instance);
   }
--- a/src/sidecar/place-policy.ts
+++ b/src/sidecar/place-policy.ts
@@ -1,131 +1,137 @@
-/** Which waiting request gets the next place at a back end, and how long one may wait for it. Pure. */
+/** Scheduling policy of the slots at a back end: order in the queue, maximum waits and reserves. Pure functions. */
 import { policyIsOn } from '../policy-switches.js';
 
-/** What a request says about its time, in ms. */
+/** Time limits that a request states, in ms. */
 export interface PlaceClaim {
-  /** Left for the whole request. */
+  /** Time left until the deadline. */
   readonly remainingMs: number;
-  /** For which it may wait whatever that costs its caller. */
+  /** Time for which it may wait for a slot in any case. */
   readonly patienceMs: number;
-  /** Left until an answer loses its full value, counted from this try of its caller. */
+  /** Time left to answer within the target latency, counted from the caller's current attempt. */
   readonly targetLeftMs: number;
-  /** Spent by its caller on earlier tries. */
+  /** Time that its caller has spent on earlier attempts. */
   readonly spentMs: number;
 }
 
-/** Time that a request may need at the back end, by the mean time that requests need. */
-const WORK_PER_MEAN = 1.3;
+/** Multiple of the mean work time that is planned for a request at the back end. */
+const WORK_TIME_FACTOR = 1.3;
 
-/** Time that a request must still have when it begins late, by the mean time: one that ends too late was work for none. */
-const LATE_WORK_PER_MEAN = 2;
+/**
+ * Multiple of the mean work time that a late request must have left to start: work that ends after the deadline is
+ * wasted.
+ */
+const LATE_WORK_TIME_FACTOR = 2;
 
-/** Time that must be left for a request to begin, by the mean time: less is hardly ever enough. */
-const LEAST_WORK_PER_MEAN = 0.5;
+/**
+ * Minimum multiple of the mean work time that must be left for any request to start; with less, work rarely finishes.
+ */
+const MIN_WORK_TIME_FACTOR = 0.5;
 
-/** Whether so little time is left that work would be broken off by the deadline and be lost. */
+/** Whether so little time is left that the deadline would interrupt the work, which would be wasted. */
 export function isTooLateToBegin(leftMs: number, meanMs: number): boolean {
-  return leftMs <= Math.max(1, LEAST_WORK_PER_MEAN * meanMs);
+  return leftMs <= Math.max(1, MIN_WORK_TIME_FACTOR * meanMs);
 }
 
-/** Part of the mean time for which a request may wait for a place in any case. */
-const LEAST_PLACE_WAIT_SHARE = 0.2;
+/** Share of the mean work time for which any request may wait for a slot. */
+const MIN_SLOT_WAIT_SHARE = 0.2;
 
-/** What puts a request behind those whose answers are worth more, in ms. */
-const SECOND_TRY_ORDER_MS = 1_000_000;
-const LATE_ORDER_MS = 2_000_000;
+/** Offsets in ms that place retries, and late requests behind them, after requests with more valuable answers. */
+const RETRY_ORDER_OFFSET_MS = 1_000_000;
+const LATE_ORDER_OFFSET_MS = 2_000_000;
 
-/** Time for which a request can wait and still be answered in time, counted from this try. */
+/** Returns the slack in ms: how long a request can wait and still meet its target, counted from the current attempt. */
 export function spareMs({ targetLeftMs }: PlaceClaim, meanMs: number): number {
-  return Math.max(0, targetLeftMs - WORK_PER_MEAN * meanMs);
+  return Math.max(0, targetLeftMs - WORK_TIME_FACTOR * meanMs);
 }
 
 /**
- * Place in the queue: the smallest goes first. A request that can be answered in time, counted from the first try of
- * its caller, is worth most; one that is in time counted from this try is worth less; one that will be late is worth
- * least, and makes others late if it goes before them.
+ * Returns the sort key in the queue; the smallest goes first. Requests that can meet the target counted from the
+ * caller's first attempt are worth most, then those that can meet it counted from the current attempt. Late requests
+ * are worth least, and would make others late if they went before them.
  */
 export function placeOrder(claim: PlaceClaim, arrivedMs: number, meanMs: number): number {
-  const targetMs = arrivedMs + claim.targetLeftMs;
-  const spare = spareMs(claim, meanMs);
-  if (spare <= 0) return lateOrder(claim, arrivedMs);
-  return spare > claim.spentMs ? targetMs - claim.spentMs : targetMs + SECOND_TRY_ORDER_MS;
+  const targetTimeMs = arrivedMs + claim.targetLeftMs;
+  const slackMs = spareMs(claim, meanMs);
+  if (slackMs <= 0) return lateOrder(claim, arrivedMs);
+  return slackMs > claim.spentMs ? targetTimeMs - claim.spentMs : targetTimeMs + RETRY_ORDER_OFFSET_MS;
 }
 
 /**
- * Whether an answer should not be worked on now, since others that wait for the network link would make it late and
- * it would make those after it late in turn. `claim` counts its own time on the link already.
+ * Whether a request should not be started, because the backlog of the network link would make its answer late, and the
+ * answer would in turn delay those behind it. `claim` already accounts for the answer's own time on the link.
  */
 export function comesTooLateForLink(claim: PlaceClaim, backlogMs: number, meanMs: number): boolean {
   return backlogMs > 0 && spareMs(claim, meanMs) <= 0;
 }
 
 /**
- * Times the foretold time on a network link that an answer must be able to bear: sizes vary, and small frames come in
- * bursts. A queue that is filled up to the target makes most answers late and carries no more of them: with 1.6, sheets
- * of 90 KB in time rose from 0.120 to 0.140 and from 0.428 to 0.485 of those asked for (an overloaded and a quiet day).
+ * Factor on the estimated time on a network link, since sizes vary and small frames arrive in bursts. Filling the queue
+ * up to the target makes most answers late without carrying more of them. With 1.6, the share of requested answers of
+ * 90 KB that arrived in time rose from 0.120 to 0.140 on an overloaded day and from 0.428 to 0.485 on a quiet one.
  */
 const LINK_TIME_MARGIN = 1.6;
 
-/** Time in ms on the network link that is reckoned with, by the time that is foretold. */
-export function linkTimeMs(foretoldMs: number): number {
-  return policyIsOn('link-margin') ? foretoldMs * LINK_TIME_MARGIN : foretoldMs;
+/** Returns the time in ms to plan for on the network link, given the estimated time. */
+export function linkTimeMs(estimatedMs: number): number {
+  return policyIsOn('link-margin') ? estimatedMs * LINK_TIME_MARGIN : estimatedMs;
 }
 
-/** Part of the longest work at a back end up to which work is short. */
+/** Share of the longest mean work time at a back end up to which work counts as short. */
 const SHORT_WORK_SHARE = 0.5;
 
-/** Rank that goes before every rank of a route. */
+/** Rank of short work, ahead of the priority of every route. */
 export const SHORT_WORK_RANK = -1;
 
 /**
- * Rank at one back end. Short work goes first, since it delays others little: such requests are mostly calls of back
- * ends that keep a place elsewhere until they are answered, and those places would be lost to all who wait there.
+ * Returns the rank in the queue of a back end; lower ranks go first. Short work goes first, since it delays others
+ * little and is mostly calls from other back ends, which hold a slot there until they are answered.
  */
 export function placeRank(priority: number, meanMs: number, longestMs: number): number {
   return meanMs <= longestMs * SHORT_WORK_SHARE ? SHORT_WORK_RANK : priority;
 }
 
-/** Part of the places that requests which will be late leave free for those that can be in time. */
+/** Share of the slots that late requests leave free for requests that can meet their target. */
 const LATE_RESERVE_SHARE = 0.2;
 
 /**
- * Places that a request which will be late leaves free. A place that it takes is lost to those that come while it
- * runs; so it gets what is left over (trunk reservation, as telephone networks bound traffic of lower value).
+ * Returns the number of slots that late requests leave free (trunk reservation, with which telephone networks limit
+ * traffic of lower value). A slot used by a late request is unavailable to those that arrive while it runs.
  */
 export function lateReserve(slots: number): number {
   return Math.min(slots - 1, Math.ceil(slots * LATE_RESERVE_SHARE));
 }
 
 /**
- * Part of the places, rounded down, that long work leaves free for short work. One place of six, by rounding up, cost
- * more than it brought (docs/POLICY-ROUNDS.md, round 21).
+ * Share of the slots, rounded down, that long work leaves free for short work. Reserving one slot of six by rounding up
+ * cost more than it gained (docs/POLICY-ROUNDS.md, round 21).
  */
 const SHORT_WORK_RESERVE_SHARE = 0.1;
 
 /**
- * Places that long work leaves free for short work. Short work is mostly calls of back ends that keep a place elsewhere
- * until they are answered; the time that they would wait for the end of long work is lost there.
+ * Returns the number of slots that long work leaves free for short work. Short work is mostly calls from other back
+ * ends, which hold a slot there until they are answered, so time spent waiting for long work wastes slots elsewhere.
  */
 export function shortWorkReserve(slots: number): number {
   return Math.floor(slots * SHORT_WORK_RESERVE_SHARE);
 }
 
-/** Place in the queue of a request that will be late: behind all that can be in time. */
+/** Returns the sort key of a late request, which puts it behind all requests that can meet their target. */
 export function lateOrder({ targetLeftMs }: PlaceClaim, arrivedMs: number): number {
-  return arrivedMs + targetLeftMs + LATE_ORDER_MS;
+  return arrivedMs + targetLeftMs + LATE_ORDER_OFFSET_MS;
 }
 
-/** Time for which a request that will be late may still wait and be answered before its deadline. */
+/** Returns the time in ms for which a late request may still wait and then be answered before its deadline. */
 export function lateWaitMs({ remainingMs }: PlaceClaim, waitedMs: number, meanMs: number): number {
-  return Math.max(0, remainingMs - waitedMs - LATE_WORK_PER_MEAN * meanMs);
+  return Math.max(0, remainingMs - waitedMs - LATE_WORK_TIME_FACTOR * meanMs);
 }
 
 /**
- * Time for which a request still waits. Where hardly any can be answered in time, waiting makes all of them late. It
- * ends while the mean work would still fit, so that a caller who gets no place is told so before it has given up.
+ * Returns the time in ms for which a request may still wait for a slot. Longer waits under overload would make all
+ * requests late. The wait ends while the mean work would still fit before the deadline, so that a caller without a slot
+ * is refused before it times out.
  */
 export function placeWaitMs(claim: PlaceClaim, waitedMs: number, meanMs: number): number {
-  const least = Math.max(LEAST_PLACE_WAIT_SHARE * meanMs, claim.patienceMs);
-  const leftMs = Math.max(0, claim.remainingMs - waitedMs - meanMs);
-  return Math.min(leftMs, Math.max(least, spareMs(claim, meanMs) - waitedMs));
+  const minWaitMs = Math.max(MIN_SLOT_WAIT_SHARE * meanMs, claim.patienceMs);
+  const maxWaitMs = Math.max(0, claim.remainingMs - waitedMs - meanMs);
+  return Math.min(maxWaitMs, Math.max(minWaitMs, spareMs(claim, meanMs) - waitedMs));
 }
--- a/src/sidecar/request-forwarder.ts
+++ b/src/sidecar/request-forwarder.ts
@@ -1,7 +1,7 @@
 /**
- * Takes a caller's request to a back end: chooses one, passes the request to the daemon beside it, and decides what
- * follows when that brings no answer. A refusal between daemons costs nothing; a second arrival at a back end is
- * taken from the retry allowance, and only for requests that may run again.
+ * Forwards a caller's request: selects a back end, sends the request to its sidecar, and decides whether to make
+ * another attempt when there is no answer. An attempt refused by a sidecar is not charged to the retry allowance. A
+ * second arrival at a back end is, and is made only for requests that are safe to run again.
  */
 import type { BackendInstance } from '../directory/directory-state.js';
 import type { Link, LinkRequest } from '../link/link-client.js';
@@ -21,45 +21,49 @@
 import type { BackendProber } from './backend-prober.js';
 import type { BackendView } from './backend-view.js';
 import { QUARANTINE_REASON, type CallerRequest, type CallerSink } from './caller-request.js';
-import { noteRefusals, type ForwarderCounters } from './forwarder-counters.js';
+import { countRefusals, type ForwarderCounters } from './forwarder-counters.js';
 import { RequestClock } from './request-clock.js';
 
 /**
- * Pause in ms before an owner or a place is looked for again, when nothing announces a change. It doubles each time,
- * since every look may pass the request over the network, up to the longest.
+ * Initial and maximum pause in ms before the next selection when no back end can be used and no table change arrives.
+ * The pause doubles each time, because each selection may send the request over the network again.
  */
-const LOOK_AGAIN_MS = 25;
-const LONGEST_LOOK_PAUSE_MS = 200;
+const INITIAL_RESELECTION_PAUSE_MS = 25;
+const MAX_RESELECTION_PAUSE_MS = 200;
 
-/** Refusals by other daemons after which a request ends as refused. */
+/** Refusals by sidecars after which the request ends without having run. */
 const MAX_REFUSALS = 24;
 
 /**
- * Refusals as busy after which a request is not taken to another daemon: each was the least busy of several that were
- * looked at, so the service is full, and every further look costs others' time.
+ * Busy refusals after which no further sidecar is tried. Each of them was the least busy of several candidates, so the
+ * service is taken to be full, and further attempts would delay other requests.
  */
 const MAX_BUSY_REFUSALS = 3;
 
-/** Refusals of a quarantined request after which no further back end is asked: some for each version there may be. */
+/**
+ * Quarantine refusals after which no further back end is tried; allows a few attempts per version that may be deployed.
+ */
 const MAX_QUARANTINE_REFUSALS = 4;
 
-/** Sooner than this no answer to a refused request can differ, in ms. */
-const LEAST_RETRY_AFTER_MS = 50;
+/** Minimum retry-after time in ms: an earlier retry would be refused as well. */
+const MIN_RETRY_AFTER_MS = 50;
 
-/** Part of the target latency after which a refused caller is told to come back at the soonest. */
-const RETRY_AFTER_SHARE = policyIsOn('retry-hints') ? 0.5 : 0.25;
+/** Minimum retry-after time of a refused request, as a share of the target latency. */
+const RETRY_AFTER_TARGET_SHARE = policyIsOn('retry-hints') ? 0.5 : 0.25;
 
-/** Answers from this status on tell of a failure, which may have come sooner than the work would have ended. */
-const FIRST_FAILURE_STATUS = 500;
+/**
+ * Lowest HTTP status whose answers are left out of the work time, since a failure may end earlier than the work would.
+ */
+const MIN_FAILURE_STATUS = 500;
 
 /**
- * Time in ms before its end at which a request that may still wait beside a back end is taken back, so that its caller
- * is told in time that it was not run; and the part of its time that this may be at most.
+ * Time in ms before the deadline at which a request that may still be queued at a sidecar is withdrawn, so that its
+ * caller learns in time that it was not run; and the maximum share of the remaining time that this may take.
  */
 const WITHDRAW_LEAD_MS = 25;
-const LONGEST_LEAD_SHARE = 0.1;
+const MAX_WITHDRAW_LEAD_SHARE = 0.1;
 
-/** What a forwarder needs of its daemon. */
+/** Dependencies that the sidecar provides to a forwarded request. */
 export interface ForwarderPorts {
   readonly runtime: Runtime;
   readonly log: EventLog;
@@ -67,45 +71,45 @@
   readonly prober: BackendProber;
   readonly view: (instance: string) => BackendView;
   readonly linkTo: (instance: BackendInstance) => Link;
-  /** Whether a request may still be sent to a second back end; false once it is known to end them. */
+  /** Whether a request may be sent to a second back end; false once it is known to end the back ends that run it. */
   readonly mayRepeat: (request: CallerRequest) => boolean;
-  /** Takes a second arrival from the allowance of the service. */
+  /** Charges a second arrival to the retry allowance of the service; false when the allowance is used up. */
   readonly takeRepeat: (service: string) => boolean;
-  /** Index of the table in force. */
+  /** Log index of the directory table in use. */
   readonly tableIndex: () => number;
   readonly latencies: Latencies;
 }
 
-/** One request on its way. */
+/** A caller's request in flight, with all its attempts. */
 export class ForwardedRequest {
   private readonly clock: RequestClock;
   private readonly excluded = new Set<string>();
-  /** Back ends that have left the last probes unanswered. */
+  /** Back ends that did not answer the most recent probes. */
   private unanswered: ReadonlySet<string> = new Set();
-  private current: LinkRequest | null = null;
+  private currentAttempt: LinkRequest | null = null;
   private currentInstance: BackendInstance | null = null;
-  private cancelPause: CancelTimer | null = null;
+  private cancelReselection: CancelTimer | null = null;
   private cancelProbes: CancelTimer | null = null;
   private cancelTimeout: CancelTimer | null = null;
   private arrivals = 0;
   private lastSentMs = 0;
-  /** How the time of the answered attempt was spent; null before an answer. */
+  /** Timing of the answered attempt; null before an answer. */
   private timing: AnswerTiming | null = null;
   private refusals = 0;
   private busyRefusals = 0;
   private quarantineRefusals = 0;
-  private nextLookPauseMs = LOOK_AGAIN_MS;
+  private nextReselectionPauseMs = INITIAL_RESELECTION_PAUSE_MS;
   private streaming = false;
   private done = false;
-  /** Whether the present attempt may have reached a back end. */
-  private mayRun = false;
-  /** Whether any attempt may have run. */
+  /** Whether the current attempt may have reached a back end. */
+  private currentMayRun = false;
+  /** Whether an attempt that has ended may have run. */
   private mayHaveRun = false;
-  /** Whether so little time is left that no further attempt is made. */
+  /** Whether too little time is left for a further attempt. */
   private withdrawn = false;
   private lastReason = 'no back end is known';
-  /** When the last refusal said to come back, in ms; null before any did. */
-  private toldRetryAfterMs: number | null = null;
+  /** Retry-after time of the most recent refusal, in ms; null before a refusal that states one. */
+  private lastRetryAfterMs: number | null = null;
 
   constructor(
     private readonly request: CallerRequest,
@@ -123,14 +127,14 @@
       this.giveUpNotRun('the deadline had passed');
       return;
     }
-    const leadMs = Math.min(WITHDRAW_LEAD_MS, leftMs * LONGEST_LEAD_SHARE);
+    const leadMs = Math.min(WITHDRAW_LEAD_MS, leftMs * MAX_WITHDRAW_LEAD_SHARE);
     this.cancelTimeout = this.ports.runtime.after(leftMs - leadMs, () => {
-      this.nearlyTimeUp(leadMs);
+      this.withdrawBeforeDeadline(leadMs);
     });
-    this.attempt();
+    this.startAttempt();
   }
 
-  /** The caller has gone. */
+  /** Cancels the request after its caller has disconnected. */
   cancel(): void {
     if (this.done) return;
     this.finish();
@@ -138,47 +142,52 @@
     this.log('caller-gone', {});
   }
 
-  /** The table has changed: an attempt that waits for that goes on. */
+  /** Starts the next attempt at once if the request is waiting for a change of the table. */
   tableChanged(): void {
-    if (this.done || this.cancelPause === null) return;
-    this.cancelPause();
-    this.cancelPause = null;
-    this.attempt();
+    if (this.done || this.cancelReselection === null) return;
+    this.cancelReselection();
+    this.cancelReselection = null;
+    this.startAttempt();
   }
 
-  private attempt(): void {
+  private startAttempt(): void {
     if (this.request.key !== null || !policyIsOn('probed-choice')) {
       this.attemptAt(this.choose());
       return;
     }
-    this.attemptSampled();
+    this.attemptWithProbes();
   }
 
-  /** Looks at a few back ends of this zone, and at others only when none of these has room. */
-  private attemptSampled(): void {
+  /**
+   * Selects among a sample of the back ends in this zone, and adds other zones only when none of them has a free slot.
+   */
+  private attemptWithProbes(): void {
     const { chooser, prober } = this.ports;
     const { service } = this.request;
     const near = chooser.nearCandidates(service, this.excluded);
-    if (policyIsOn('known-first') && chooser.knowsRoom(near)) {
+    if (policyIsOn('known-first') && chooser.hasKnownCapacity(near)) {
       prober.refresh(near);
       this.attemptAt(this.choose(near));
       return;
     }
-    this.learn(near, () => {
-      if (chooser.hasRoom(near)) {
+    this.probeThen(near, () => {
+      if (chooser.hasCapacity(near)) {
         this.attemptAt(this.choose(near));
         return;
       }
       const far = chooser.farCandidates(service, this.excluded);
       const all = [...near, ...far];
-      this.learn(chooser.knowsRoom(far) ? [] : far, () => {
+      this.probeThen(chooser.hasKnownCapacity(far) ? [] : far, () => {
         this.attemptAt(this.choose(all));
       });
     });
   }
 
-  /** Asks back ends whose state is not known. A request that was refused before does not wait for that once more. */
-  private learn(instances: readonly BackendInstance[], then: () => void): void {
+  /**
+   * Probes back ends without a fresh status, then calls `then`. A request that has been refused before does not wait
+   * for the answers again.
+   */
+  private probeThen(instances: readonly BackendInstance[], then: () => void): void {
     if (policyIsOn('known-first') && this.refusals > 0) {
       this.ports.prober.refresh(instances);
       then();
@@ -196,14 +205,14 @@
 
   private attemptAt(instance: BackendInstance | null): void {
     if (instance === null) {
-      this.lookAgain();
+      this.scheduleReselection();
       return;
     }
     const link = this.ports.linkTo(instance);
     if (link.unreachable) {
       this.lastReason = 'the daemon beside the back end cannot be reached';
       this.excluded.add(instance.id);
-      this.lookAgain();
+      this.scheduleReselection();
       return;
     }
     this.send(instance, link);
@@ -217,23 +226,23 @@
     const choice = { service, key, excluded, unanswered, answerBytes, workMs, candidates };
     const chosen = chooser.choose(choice);
     if (key === null || chosen === null || !this.excluded.has(chosen.id)) return chosen;
-    const target = chooser.targetOf(service, key);
+    const target = chooser.moveTargetOf(service, key);
     return target === null || this.excluded.has(target.id) ? null : target;
   }
 
-  /** Nothing can be tried now: waits for a change of the table, or a moment, and tries anew. */
-  private lookAgain(): void {
-    const lookingTimeMs = this.clock.lookingTimeMs;
-    if (lookingTimeMs <= 0 || this.refusals >= MAX_REFUSALS) {
-      this.endWithoutPlace();
+  /** Schedules another selection after a pause or the next change of the table, since no back end can be used now. */
+  private scheduleReselection(): void {
+    const searchTimeMs = this.clock.searchTimeMs;
+    if (searchTimeMs <= 0 || this.refusals >= MAX_REFUSALS) {
+      this.endWithoutSlot();
       return;
     }
     this.excluded.clear();
-    const pauseMs = Math.min(this.nextLookPauseMs, lookingTimeMs + 1);
-    this.nextLookPauseMs = Math.min(this.nextLookPauseMs * 2, LONGEST_LOOK_PAUSE_MS);
-    this.cancelPause = this.ports.runtime.after(pauseMs, () => {
-      this.cancelPause = null;
-      this.attempt();
+    const pauseMs = Math.min(this.nextReselectionPauseMs, searchTimeMs + 1);
+    this.nextReselectionPauseMs = Math.min(this.nextReselectionPauseMs * 2, MAX_RESELECTION_PAUSE_MS);
+    this.cancelReselection = this.ports.runtime.after(pauseMs, () => {
+      this.cancelReselection = null;
+      this.startAttempt();
     });
   }
 
@@ -241,7 +250,7 @@
     const view = this.ports.view(instance.id);
     this.counters.attempts += 1;
     this.currentInstance = instance;
-    this.mayRun = true;
+    this.currentMayRun = true;
     view.noteSent();
     const { requestId, method, path, headers, body, key, route, spentMs } = this.request;
     this.lastSentMs = this.ports.runtime.nowMs();
@@ -260,7 +269,7 @@
       targetLeftMs: this.clock.targetLeftMs,
       spentMs,
     };
-    this.current = link.request(head, body, {
+    this.currentAttempt = link.request(head, body, {
       onRefusal: (refusal) => {
         this.refused(instance, view, refusal);
       },
@@ -285,7 +294,7 @@
   // ---- outcomes of an attempt
 
   private answered(view: BackendView, head: AnswerHead, body: Buffer): void {
-    this.noteStatus(view, head.status);
+    this.recordStatus(view, head.status);
     view.noteSuccess();
     this.timing = head.timing;
     if (this.done) return;
@@ -295,15 +304,15 @@
       return;
     }
     this.attemptEnded(view);
-    this.request.route.noteAnswer(body.length);
-    if (policyIsOn('told-pace')) this.noteWork(head);
+    this.request.route.recordAnswerSize(body.length);
+    if (policyIsOn('told-pace')) this.recordWork(head);
     this.complete();
     this.sink.answer(head, body);
   }
 
-  private noteWork({ statusCode, timing, status }: AnswerHead): void {
-    if (statusCode >= FIRST_FAILURE_STATUS) return;
-    this.request.route.noteWork(timing.backendMs / (status?.pace ?? 1));
+  private recordWork({ statusCode, timing, status }: AnswerHead): void {
+    if (statusCode >= MIN_FAILURE_STATUS) return;
+    this.request.route.recordWork(timing.backendMs / (status?.pace ?? 1));
   }
 
   private ended(view: BackendView): void {
@@ -314,14 +323,14 @@
   }
 
   private refused(instance: BackendInstance, view: BackendView, refusal: RefusalHead): void {
-    this.noteStatus(view, refusal.status);
+    this.recordStatus(view, refusal.status);
     this.attemptEnded(view);
     if (this.done) return;
-    this.mayRun = false;
+    this.currentMayRun = false;
     this.refusals += 1;
     if (refusal.arrived) this.arrivals += 1;
     this.lastReason = `refused: ${refusal.reason}`;
-    this.toldRetryAfterMs = refusal.retryAfterMs;
+    this.lastRetryAfterMs = refusal.retryAfterMs;
     if (refusal.reason === 'busy') this.busyRefusals += 1;
     if (refusal.reason === 'unreachable') view.noteFailure(this.ports.runtime.nowMs());
     this.excluded.add(instance.id);
@@ -329,39 +338,39 @@
   }
 
   private retryAfterRefusal(refusal: RefusalHead): void {
-    const outOfTime = this.refusals >= MAX_REFUSALS || this.withdrawn;
+    const attemptsExhausted = this.refusals >= MAX_REFUSALS || this.withdrawn;
     if (refusal.reason === 'quarantined') {
-      this.afterQuarantine(outOfTime);
+      this.retryAfterQuarantine(attemptsExhausted);
       return;
     }
-    if (outOfTime || this.isFull() || (refusal.arrived && !this.mayArriveAgain())) {
-      this.endWithoutPlace();
+    if (attemptsExhausted || this.isServiceFull() || (refusal.arrived && !this.takeRepeatAllowance())) {
+      this.endWithoutSlot();
       return;
     }
-    if (this.choose() !== null) this.attempt();
-    else if (refusal.reason === 'busy') this.endWithoutPlace();
-    else this.lookAgain();
+    if (this.choose() !== null) this.startAttempt();
+    else if (refusal.reason === 'busy') this.endWithoutSlot();
+    else this.scheduleReselection();
   }
 
-  /** Back ends of another version of the software may take it; where there are none its end is final. */
-  private afterQuarantine(outOfTime: boolean): void {
+  /** Tries further back ends, since one that runs another software version may accept the request. */
+  private retryAfterQuarantine(attemptsExhausted: boolean): void {
     this.quarantineRefusals += 1;
-    const mayLookOn = !outOfTime && this.quarantineRefusals < MAX_QUARANTINE_REFUSALS;
-    if (mayLookOn && this.choose() !== null) this.attempt();
+    const mayTryAnother = !attemptsExhausted && this.quarantineRefusals < MAX_QUARANTINE_REFUSALS;
+    if (mayTryAnother && this.choose() !== null) this.startAttempt();
     else if (this.mayHaveRun) this.giveUpUnknown(this.lastReason, false);
     else this.giveUpQuarantined();
   }
 
-  /** Whether so many daemons were busy that the service is taken to have no room. */
-  private isFull(): boolean {
+  /** Whether enough sidecars were busy to take the whole service to be full. */
+  private isServiceFull(): boolean {
     return policyIsOn('bounded-refusals') && this.busyRefusals >= MAX_BUSY_REFUSALS;
   }
 
   private failed(instance: BackendInstance, view: BackendView, failure: FailureHead): void {
-    this.noteStatus(view, failure.status);
+    this.recordStatus(view, failure.status);
     this.attemptEnded(view);
     if (failure.reason !== 'deadline') view.noteFailure(this.ports.runtime.nowMs());
-    this.afterPossibleRun(
+    this.retryAfterPossibleRun(
       instance,
       `the back end's answer: ${failure.reason}`,
       failure.reason === 'deadline',
@@ -372,20 +381,24 @@
     this.attemptEnded(view);
     view.noteFailure(this.ports.runtime.nowMs());
     if (sent || this.streaming) {
-      this.afterPossibleRun(instance, 'the connection to the daemon beside the back end was lost', false);
+      this.retryAfterPossibleRun(
+        instance,
+        'the connection to the daemon beside the back end was lost',
+        false,
+      );
       return;
     }
     if (this.done) return;
-    this.mayRun = false;
+    this.currentMayRun = false;
     this.refusals += 1;
     this.lastReason = 'the daemon beside the back end cannot be reached';
     this.excluded.add(instance.id);
-    if (this.withdrawn) this.endWithoutPlace();
-    else if (this.choose() === null) this.lookAgain();
-    else this.attempt();
+    if (this.withdrawn) this.endWithoutSlot();
+    else if (this.choose() === null) this.scheduleReselection();
+    else this.startAttempt();
   }
 
-  private afterPossibleRun(instance: BackendInstance, reason: string, timedOut: boolean): void {
+  private retryAfterPossibleRun(instance: BackendInstance, reason: string, timedOut: boolean): void {
     if (this.done) return;
     this.mayHaveRun = true;
     this.arrivals += 1;
@@ -397,48 +410,48 @@
       return;
     }
     const repeatable = this.request.route.definition.kind !== 'non-idempotent';
-    // A repeat of what is known to end back ends would end the next one.
+    // Repeating a request that is known to end back ends would end the next one.
     const mayRepeat = repeatable && this.ports.mayRepeat(this.request);
-    if (timedOut || !mayRepeat || this.withdrawn || !this.mayArriveAgain()) {
+    if (timedOut || !mayRepeat || this.withdrawn || !this.takeRepeatAllowance()) {
       this.giveUpUnknown(reason, timedOut);
       return;
     }
     this.counters.repeats += 1;
     this.excluded.add(instance.id);
     this.log('request-repeated', { instance: instance.id, reason, arrivals: this.arrivals });
-    if (this.choose() === null) this.lookAgain();
-    else this.attempt();
+    if (this.choose() === null) this.scheduleReselection();
+    else this.startAttempt();
   }
 
-  private mayArriveAgain(): boolean {
+  private takeRepeatAllowance(): boolean {
     const { route, service } = this.request;
     return this.arrivals < route.definition.maxAttempts && this.ports.takeRepeat(service);
   }
 
   // ---- ends
 
-  private nearlyTimeUp(leadMs: number): void {
+  private withdrawBeforeDeadline(leadMs: number): void {
     if (this.done) return;
     this.withdrawn = true;
     this.cancelTimeout = this.ports.runtime.after(leadMs, () => {
-      this.timeUp();
+      this.endAtDeadline();
     });
-    if (this.current === null) this.endWithoutPlace();
-    else this.current.withdraw();
+    if (this.currentAttempt === null) this.endWithoutSlot();
+    else this.currentAttempt.withdraw();
   }
 
-  private timeUp(): void {
+  private endAtDeadline(): void {
     if (this.done) return;
     if (this.streaming) {
       this.finish();
       this.sink.breakOff();
       return;
     }
-    if (this.mayRun || this.mayHaveRun) this.giveUpUnknown('the time was up', true);
+    if (this.currentMayRun || this.mayHaveRun) this.giveUpUnknown('the time was up', true);
     else this.giveUpNotRun('the time was up');
   }
 
-  private endWithoutPlace(): void {
+  private endWithoutSlot(): void {
     if (this.mayHaveRun) this.giveUpUnknown(this.lastReason, false);
     else this.giveUpNotRun(this.lastReason);
   }
@@ -446,10 +459,10 @@
   private giveUpNotRun(reason: string): void {
     this.finish();
     this.counters.notRun += 1;
-    this.countEnd(false);
-    const usualMs = this.request.route.definition.targetLatencyMs * RETRY_AFTER_SHARE;
-    const toldMs = policyIsOn('retry-hints') ? (this.toldRetryAfterMs ?? 0) : 0;
-    const retryAfterMs = Math.max(LEAST_RETRY_AFTER_MS, usualMs, toldMs);
+    this.countOutcome(false);
+    const targetShareMs = this.request.route.definition.targetLatencyMs * RETRY_AFTER_TARGET_SHARE;
+    const requestedMs = policyIsOn('retry-hints') ? (this.lastRetryAfterMs ?? 0) : 0;
+    const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, targetShareMs, requestedMs);
     this.log('request-not-run', { reason, refusals: this.refusals });
     this.sink.giveUp({ kind: 'not-run', reason, retryAfterMs });
   }
@@ -457,7 +470,7 @@
   private giveUpQuarantined(): void {
     this.finish();
     this.counters.quarantined += 1;
-    this.countEnd(false);
+    this.countOutcome(false);
     this.log('request-quarantined', { refusals: this.refusals });
     this.sink.giveUp({ kind: 'quarantined', reason: QUARANTINE_REASON });
   }
@@ -465,7 +478,7 @@
   private giveUpUnknown(reason: string, timedOut: boolean): void {
     this.finish();
     this.counters.unknown += 1;
-    this.countEnd(false);
+    this.countOutcome(false);
     this.log('request-unknown', { reason, arrivals: this.arrivals, instance: this.currentInstance?.id });
     this.sink.giveUp({ kind: 'unknown', reason, timedOut });
   }
@@ -473,7 +486,7 @@
   private complete(): void {
     this.finish();
     this.counters.answered += 1;
-    this.countEnd(true);
+    this.countOutcome(true);
     const { service, arrivedMs, spentMs } = this.request;
     const { log, latencies, runtime } = this.ports;
     latencies.observe('request', service, runtime.nowMs() - arrivedMs);
@@ -482,38 +495,39 @@
     const sentMs = Math.round(this.lastSentMs - arrivedMs);
     const instance = this.currentInstance?.id;
     const fields = this.fields({ instance, spentMs, late, sentMs, ...this.timing });
-    // A late answer is out of the ordinary, so its line is kept while there is room for any.
+    // Late answers are exceptional, so they are logged like failures, whose rate limit is higher than that of routine
+    // lines.
     if (late) log.failure('request-answered', fields);
     else log.routine('request-answered', fields);
   }
 
-  private countEnd(answered: boolean): void {
-    noteRefusals(this.counters, this.refusals);
+  private countOutcome(answered: boolean): void {
+    countRefusals(this.counters, this.refusals);
     if (this.request.spentMs === 0) return;
     this.counters.returned += 1;
     if (answered) this.counters.returnedAnswered += 1;
   }
 
-  /** The present attempt, if any, is taken back. */
+  /** Marks the request as done, stops its timers and cancels the current attempt. */
   private finish(): void {
     this.done = true;
     this.cancelTimeout?.();
-    this.cancelPause?.();
-    this.cancelPause = null;
+    this.cancelReselection?.();
+    this.cancelReselection = null;
     this.cancelProbes?.();
     this.cancelProbes = null;
-    if (this.current === null || this.currentInstance === null) return;
-    this.current.cancel();
+    if (this.currentAttempt === null || this.currentInstance === null) return;
+    this.currentAttempt.cancel();
     this.attemptEnded(this.ports.view(this.currentInstance.id));
   }
 
   private attemptEnded(view: BackendView): void {
-    if (this.current === null) return;
-    this.current = null;
+    if (this.currentAttempt === null) return;
+    this.currentAttempt = null;
     view.noteEnded();
   }
 
-  private noteStatus(view: BackendView, status: StatusHead | null): void {
+  private recordStatus(view: BackendView, status: StatusHead | null): void {
     if (status !== null) view.noteStatus(status, this.ports.runtime.nowMs());
   }
 
--- a/src/sidecar/request-intake.ts
+++ b/src/sidecar/request-intake.ts
@@ -1,35 +1,35 @@
-/** Turns what a caller sent into a request that can be passed on, or into the answer that it gets at once. */
+/** Validates a caller's HTTP request and turns it into a request to forward, or into an immediate answer. */
 import type { Runtime } from '../runtime/runtime.js';
 import { ownAnswer, OWN_STATUS, type IncomingRequest, type OwnAnswer } from './caller-server.js';
 import type { DirectoryTable } from './directory-table.js';
 import { endToEndHeaders, headerValue, type HeaderDialect } from './header-dialect.js';
 import type { CallerRequest } from './caller-request.js';
 
-/** When to come back while no configuration is known here, or an old one may be, in ms. */
-const UNCONFIGURED_RETRY_MS = 300;
+/** Retry-after time in ms while this sidecar has no configuration, or one that may be outdated. */
+const UNCONFIGURED_RETRY_AFTER_MS = 300;
 
-const LAST_KEY = 65_535;
-const KEY_TEXT = /^\d{1,5}$/;
+const MAX_KEY = 65_535;
+const KEY_PATTERN = /^\d{1,5}$/;
 
-/** What the intake needs of its daemon. */
+/** Dependencies that the sidecar provides to the intake. */
 export interface IntakePorts {
   readonly runtime: Runtime;
   readonly table: DirectoryTable;
   readonly dialect: HeaderDialect;
-  /** Service of the back end on this machine, which calls from here are made for. */
+  /** Service of the local back end, named as the caller in forwarded requests. */
   readonly service: string;
-  /** Whether the table holds what the directory held a moment ago. */
+  /** Whether the table is up to date with the directory. */
   readonly tableIsCurrent: () => boolean;
 }
 
-/** Checks requests against the configuration in force. */
+/** Validates incoming requests against the current configuration. */
 export class RequestIntake {
   constructor(private readonly ports: IntakePorts) {}
 
-  /** The request as it is to be passed on, or why it is not. */
+  /** Returns the request to forward, or the answer to send instead. */
   prepare(incoming: IncomingRequest): CallerRequest | OwnAnswer {
     const { runtime, table, dialect } = this.ports;
-    if (!table.configured) return comeBack('no configuration is known here yet');
+    if (!table.configured) return retryLaterAnswer('the sidecar has not received a configuration yet');
     const route = table.routes.find(incoming.host, incoming.path);
     const service = route?.nextService() ?? null;
     if (route === null || service === null) return this.noRouteAnswer();
@@ -37,41 +37,42 @@
     const keyText = headerValue(headers, dialect.key);
     const keyed = table.service(service)?.keyed === true;
     if (keyed && !isKey(keyText)) return ownAnswer(OWN_STATUS.badRequest, 'the request needs a key');
-    const told = Number(headerValue(headers, dialect.deadlineMs));
-    const hasDeadline = Number.isFinite(told) && told > 0;
+    const statedDeadlineMs = Number(headerValue(headers, dialect.deadlineMs));
+    const hasDeadline = Number.isFinite(statedDeadlineMs) && statedDeadlineMs > 0;
     return {
       requestId: headerValue(headers, dialect.requestId) ?? runtime.randomId(),
       method,
       path,
-      headers: this.headersToPassOn(headers),
+      headers: this.headersToForward(headers),
       body,
       route,
       service,
       key: keyed ? Number(keyText) : null,
-      deadlineMs: hasDeadline ? told : route.definition.timeoutMs,
-      spentMs: hasDeadline ? route.deadlines.spentMs(told) : 0,
+      deadlineMs: hasDeadline ? statedDeadlineMs : route.definition.timeoutMs,
+      spentMs: hasDeadline ? route.spentTime.spentMs(statedDeadlineMs) : 0,
       arrivedMs: runtime.nowMs(),
     };
   }
 
-  /** A route that is missing here may exist as long as the table may be old. */
+  /** Returns a final answer only when the table is current: a newer table may contain the missing route. */
   private noRouteAnswer(): OwnAnswer {
-    if (this.ports.tableIsCurrent()) return ownAnswer(OWN_STATUS.noRoute, 'no route fits');
-    return comeBack('the configuration here may be old');
+    if (this.ports.tableIsCurrent())
+      return ownAnswer(OWN_STATUS.noRoute, 'no route matches the host and path');
+    return retryLaterAnswer('the configuration of the sidecar may be outdated');
   }
 
-  private headersToPassOn(headers: readonly string[]): string[] {
+  private headersToForward(headers: readonly string[]): string[] {
     const { dialect, service } = this.ports;
-    const passed = endToEndHeaders(headers, new Set([dialect.caller, dialect.deadlineMs]));
-    passed.push(dialect.caller, service);
-    return passed;
+    const forwarded = endToEndHeaders(headers, new Set([dialect.caller, dialect.deadlineMs]));
+    forwarded.push(dialect.caller, service);
+    return forwarded;
   }
 }
 
-function comeBack(reason: string): OwnAnswer {
-  return { statusCode: OWN_STATUS.notRun, reason, retryAfterMs: UNCONFIGURED_RETRY_MS };
+function retryLaterAnswer(reason: string): OwnAnswer {
+  return { statusCode: OWN_STATUS.notRun, reason, retryAfterMs: UNCONFIGURED_RETRY_AFTER_MS };
 }
 
 function isKey(text: string | null): boolean {
-  return text !== null && KEY_TEXT.test(text) && Number(text) <= LAST_KEY;
+  return text !== null && KEY_PATTERN.test(text) && Number(text) <= MAX_KEY;
 }
--- a/src/sidecar/retry-allowance.ts
+++ b/src/sidecar/retry-allowance.ts
@@ -1,59 +1,62 @@
 /**
- * This daemon's part of a retry budget that all daemons share: a part of its own requests to a service within a
- * sliding window, and its share of a fixed number. The parts add up whatever happens to the other daemons.
+ * This sidecar's part of a retry budget that all sidecars share: a ratio of its own requests to a service within a
+ * sliding window, plus an equal share of a fixed number. The parts add up to the budget without any coordination.
  */
 
-/** Time in ms that is counted together. */
-const TICK_MS = 500;
+/** Length in ms of the buckets in which requests and repeats are counted. */
+const BUCKET_MS = 500;
 
-/** Part of the ratio that is used, since windows of the budget may begin at any moment. */
-const USED_PART = 0.5;
+/** Share of the budget that is used, since the windows over which it is checked may begin at any time. */
+const USED_SHARE = 0.5;
 
-/** The whole budget of one service. */
+/** Retry budget of one service over all sidecars. */
 export interface RetryBudget {
-  /** Repeats allowed for each request. */
+  /** Repeats allowed per request. */
   readonly ratio: number;
-  /** Repeats allowed in a window beside that. */
+  /** Additional repeats allowed per window. */
   readonly extra: number;
   /** Length of the window, in ms. */
   readonly windowMs: number;
 }
 
-interface Tick {
+interface CountBucket {
   readonly startMs: number;
   requests: number;
   repeats: number;
 }
 
-/** The allowance for one service. */
+/** Retry allowance of this sidecar for one service. */
 export class RetryAllowance {
-  private ticks: Tick[] = [];
+  private buckets: CountBucket[] = [];
 
   constructor(private readonly budget: RetryBudget) {}
 
-  /** A request for the service has come. */
+  /** Records a request to the service. */
   noteRequest(nowMs: number): void {
     this.tick(nowMs).requests += 1;
   }
 
-  /** Takes a repeat from the allowance; false when there is none left. `daemons` share the fixed number. */
+  /**
+   * Charges a repeat to the allowance; false if none is left. `daemons` is the number of sidecars sharing the budget.
+   */
   takeRepeat(nowMs: number, daemons: number): boolean {
-    const tick = this.tick(nowMs);
-    const requests = this.ticks.reduce((sum, known) => sum + known.requests, 0);
-    const repeats = this.ticks.reduce((sum, known) => sum + known.repeats, 0);
-    const fixed = (this.budget.extra * USED_PART) / Math.max(1, daemons);
-    if (repeats + 1 > requests * this.budget.ratio * USED_PART + fixed) return false;
-    tick.repeats += 1;
+    const bucket = this.tick(nowMs);
+    const requests = this.buckets.reduce((sum, known) => sum + known.requests, 0);
+    const repeats = this.buckets.reduce((sum, known) => sum + known.repeats, 0);
+    const extraShare = (this.budget.extra * USED_SHARE) / Math.max(1, daemons);
+    if (repeats + 1 > requests * this.budget.ratio * USED_SHARE + extraShare) return false;
+    bucket.repeats += 1;
     return true;
   }
 
-  private tick(nowMs: number): Tick {
+  /** Discards expired buckets and returns the current one. */
+  private tick(nowMs: number): CountBucket {
     const oldestMs = nowMs - this.budget.windowMs;
-    this.ticks = this.ticks.filter(({ startMs }) => startMs + TICK_MS > oldestMs);
-    const last = this.ticks.at(-1);
-    if (last !== undefined && nowMs - last.startMs < TICK_MS) return last;
-    const tick = { startMs: nowMs, requests: 0, repeats: 0 };
-    this.ticks.push(tick);
-    return tick;
+    this.buckets = this.buckets.filter(({ startMs }) => startMs + BUCKET_MS > oldestMs);
+    const last = this.buckets.at(-1);
+    if (last !== undefined && nowMs - last.startMs < BUCKET_MS) return last;
+    const bucket = { startMs: nowMs, requests: 0, repeats: 0 };
+    this.buckets.push(bucket);
+    return bucket;
   }
 }
--- a/src/sidecar/route-table.ts
+++ b/src/sidecar/route-table.ts
@@ -1,21 +1,23 @@
-/** Finds the route of a request by host and longest path prefix, and deals its requests out by weight. */
-import { UsualDeadline } from './usual-deadline.js';
+/**
+ * Finds the route of a request by host and longest path prefix, and distributes its requests over services by weight.
+ */
+import { SpentTimeEstimator } from './usual-deadline.js';
 import type { ConfigurationItem, RouteDefinition } from '../directory/directory-state.js';
 
-/** Bytes of an answer that are assumed before any was seen. */
-const ASSUMED_ANSWER_BYTES = 2_000;
+/** Answer size in bytes that is assumed before the first answer. */
+const DEFAULT_ANSWER_BYTES = 2_000;
 
-/** Weight of the newest answer in the mean size. */
-const NEWEST_WEIGHT = 0.1;
+/** Weight of the newest sample in the moving averages of answer size and work time. */
+const EWMA_WEIGHT = 0.1;
 
-/** A route in force, and what was seen of it. */
+/** A configured route with statistics of its requests. */
 export class Route {
-  /** Recent mean size of an answer, in bytes. */
-  answerBytes = ASSUMED_ANSWER_BYTES;
-  /** Recent mean time of its work at the usual pace, in ms; null before any was seen. */
+  /** Moving average of the answer size, in bytes. */
+  answerBytes = DEFAULT_ANSWER_BYTES;
+  /** Moving average of the work time at the usual pace, in ms; null before the first sample. */
   workMs: number | null = null;
-  /** Deadlines of its requests. */
-  deadlines = new UsualDeadline();
+  /** Estimates from the deadlines of the requests what their callers have spent on earlier attempts. */
+  spentTime = new SpentTimeEstimator();
   private readonly credits: number[];
 
   constructor(
@@ -25,7 +27,7 @@
     this.credits = definition.destinations.map(() => 0);
   }
 
-  /** The service that the next request goes to; services take turns in exact proportion to their weights. */
+  /** Returns the service for the next request by smooth weighted round robin, in exact proportion to the weights. */
   nextService(): string | null {
     const { destinations } = this.definition;
     const only = destinations[0];
@@ -43,33 +45,36 @@
     return chosen.service;
   }
 
-  /** The route was changed; its requests are the same. */
-  keepWhatWasSeen(earlier: Route): void {
+  /** Copies the statistics of the previous version of this route, whose requests are the same. */
+  copyStatisticsFrom(earlier: Route): void {
     this.answerBytes = earlier.answerBytes;
     this.workMs = earlier.workMs;
-    this.deadlines = earlier.deadlines;
+    this.spentTime = earlier.spentTime;
   }
 
-  /** An answer of this size was seen. */
-  noteAnswer(bytes: number): void {
-    this.answerBytes += (bytes - this.answerBytes) * NEWEST_WEIGHT;
+  /** Adds the size of an answer to the average. */
+  recordAnswerSize(bytes: number): void {
+    this.answerBytes += (bytes - this.answerBytes) * EWMA_WEIGHT;
   }
 
-  /** Work took so long, reduced to the usual pace. */
-  noteWork(ms: number): void {
+  /** Adds a work time in ms, scaled to the usual pace, to the average. */
+  recordWork(ms: number): void {
     const mean = this.workMs ?? ms;
-    this.workMs = mean + (ms - mean) * NEWEST_WEIGHT;
+    this.workMs = mean + (ms - mean) * EWMA_WEIGHT;
   }
 }
 
-/** The routes of one host, by their path prefixes. */
+/** The routes of one host by path prefix. */
 interface HostRoutes {
   readonly byPrefix: Map<string, Route>;
-  /** Lengths of the prefixes, the longest first; there are few, however many routes. */
+  /** Distinct lengths of the prefixes, longest first; few even with many routes. */
   lengths: readonly number[];
 }
 
-/** The routes of one configuration. */
+/**
+ * The routes of one configuration. Routes that keep their name and host inherit their statistics from the `earlier`
+ * table.
+ */
 export class RouteTable {
   private readonly byName = new Map<string, Route>();
   private readonly byHost = new Map<string, HostRoutes>();
@@ -84,25 +89,26 @@
     }
   }
 
-  /** The route of a request, or null. `host` may carry a port; `path` may carry a query. */
+  /** Returns the route of a request, or null. `host` may include a port, `path` a query. */
   find(host: string, path: string): Route | null {
-    const routes = this.byHost.get(normalHost(host));
+    const routes = this.byHost.get(normalizeHost(host));
     if (routes === undefined) return null;
-    const query = path.indexOf('?');
-    const plain = query < 0 ? path : path.slice(0, query);
+    const queryStart = path.indexOf('?');
+    const pathname = queryStart < 0 ? path : path.slice(0, queryStart);
     for (const length of routes.lengths) {
-      const route = length <= plain.length ? routes.byPrefix.get(plain.slice(0, length)) : undefined;
+      const route = length <= pathname.length ? routes.byPrefix.get(pathname.slice(0, length)) : undefined;
       if (route !== undefined) return route;
     }
     return null;
   }
 
-  /** Where two routes have one host and prefix, the first one stands. */
+  /** Adds a route. If two routes have the same host and prefix, the first one is used. */
   private add(name: string, definition: RouteDefinition, earlier: RouteTable | undefined): void {
-    const host = normalHost(definition.host);
-    const known = earlier?.byName.get(name);
-    const route = known?.definition === definition ? known : new Route(name, definition);
-    if (known !== undefined && normalHost(known.definition.host) === host) route.keepWhatWasSeen(known);
+    const host = normalizeHost(definition.host);
+    const previous = earlier?.byName.get(name);
+    const route = previous?.definition === definition ? previous : new Route(name, definition);
+    if (previous !== undefined && normalizeHost(previous.definition.host) === host)
+      route.copyStatisticsFrom(previous);
     this.byName.set(name, route);
     const routes = this.byHost.get(host) ?? { byPrefix: new Map<string, Route>(), lengths: [] };
     this.byHost.set(host, routes);
@@ -110,7 +116,7 @@
   }
 }
 
-function normalHost(host: string): string {
+function normalizeHost(host: string): string {
   const port = host.lastIndexOf(':');
   const name = port > host.lastIndexOf(']') ? host.slice(0, port) : host;
   return name.toLowerCase();
--- a/src/sidecar/usual-deadline.ts
+++ b/src/sidecar/usual-deadline.ts
@@ -1,54 +1,55 @@
 /**
- * Tells how long a caller has been trying already. A caller that comes back after a refusal has less time left than
- * the route's callers have at their first try, and that first time is what many requests of the route carry alike.
+ * Estimates how long a caller has already been retrying. A caller that retries after a refusal states a shorter
+ * deadline than on its first attempt, and the deadline of first attempts is the one that many requests of the route
+ * share.
  */
 
-/** Deadlines that are counted; the oldest is forgotten first. */
-const COUNTED = 128;
+/** Number of most recent deadlines that are counted. */
+const WINDOW_SIZE = 128;
 
-/** Deadlines that differ by less than this, in ms, count as the same. */
-const STEP_MS = 20;
+/** Width in ms of the buckets in which deadlines are counted. */
+const BUCKET_MS = 20;
 
-/** Requests that must have been seen before anything is concluded. */
-const LEAST_SEEN = 16;
+/** Minimum number of requests before an estimate is made. */
+const MIN_SAMPLES = 16;
 
 /**
- * Part of the counted requests that a deadline must have to be a usual one. Where most are refused and come back twice,
- * a quarter of the requests are first tries; later tries spread over many deadlines.
+ * Minimum share of the counted requests for a deadline to count as frequent. If most requests are refused and retried
+ * twice, a quarter of all requests are first attempts; the deadlines of retries spread over many buckets.
  */
-const LEAST_SHARE = 0.15;
+const MIN_FREQUENT_SHARE = 0.15;
 
-/** The usual deadline of one route. */
-export class UsualDeadline {
+/** Estimates the time that callers of one route have spent on earlier attempts. */
+export class SpentTimeEstimator {
   private readonly recent: number[] = [];
   private readonly counts = new Map<number, number>();
 
-  /** A request came with this time left, in ms; returns the time in ms that its caller has spent before. */
+  /** Counts the deadline in ms of a request and returns the estimated time in ms that its caller has spent before. */
   spentMs(deadlineMs: number): number {
-    this.count(Math.round(deadlineMs / STEP_MS));
-    const usual = this.longestFrequent();
-    if (usual === null) return 0;
-    const spentMs = usual * STEP_MS - deadlineMs;
-    return spentMs < STEP_MS ? 0 : spentMs;
+    this.count(Math.round(deadlineMs / BUCKET_MS));
+    const usualBucket = this.longestFrequentBucket();
+    if (usualBucket === null) return 0;
+    const spentMs = usualBucket * BUCKET_MS - deadlineMs;
+    return spentMs < BUCKET_MS ? 0 : spentMs;
   }
 
-  private count(step: number): void {
-    this.recent.push(step);
-    this.counts.set(step, (this.counts.get(step) ?? 0) + 1);
-    if (this.recent.length <= COUNTED) return;
+  private count(bucket: number): void {
+    this.recent.push(bucket);
+    this.counts.set(bucket, (this.counts.get(bucket) ?? 0) + 1);
+    if (this.recent.length <= WINDOW_SIZE) return;
     const oldest = this.recent.shift() ?? 0;
     const left = (this.counts.get(oldest) ?? 1) - 1;
     if (left > 0) this.counts.set(oldest, left);
     else this.counts.delete(oldest);
   }
 
-  /** A caller's time only becomes shorter, so of all frequent deadlines the longest one is that of first tries. */
-  private longestFrequent(): number | null {
-    if (this.recent.length < LEAST_SEEN) return null;
-    const least = this.recent.length * LEAST_SHARE;
+  /** Returns the longest frequent bucket: deadlines only shrink with retries, so it is that of first attempts. */
+  private longestFrequentBucket(): number | null {
+    if (this.recent.length < MIN_SAMPLES) return null;
+    const minCount = this.recent.length * MIN_FREQUENT_SHARE;
     let longest: number | null = null;
-    for (const [step, count] of this.counts) {
-      if (count > least && (longest === null || step > longest)) longest = step;
+    for (const [bucket, count] of this.counts) {
+      if (count > minCount && (longest === null || bucket > longest)) longest = bucket;
     }
     return longest;
   }
--- a/test/sidecar/backend-prober.test.ts
+++ b/test/sidecar/backend-prober.test.ts
@@ -1,4 +1,4 @@
-/** Probes before a choice: what is asked, what is waited for, and what is chosen then. */
+/** Probes before a selection: which back ends are probed, how long answers are awaited, and which is selected. */
 import test from 'ava';
 import type { BackendInstance } from '../../src/directory/directory-state.js';
 import type { StatusHead } from '../../src/link/link-messages.js';
@@ -9,12 +9,12 @@
 import { ManualTime } from './manual-runtime.js';
 
 const SERVICE = 'ledger';
-const NOTHING_EXCLUDED: ReadonlySet<string> = new Set();
+const NONE_EXCLUDED: ReadonlySet<string> = new Set();
 
-/** Back ends in two zones, as a daemon in zone `a` sees them. */
+/** Back ends in two zones, seen from a sidecar in zone `a`. */
 class Fleet {
   readonly time = new ManualTime();
-  readonly asked: string[] = [];
+  readonly probed: string[] = [];
   readonly views = new Map<string, BackendView>();
   readonly instances: BackendInstance[] = [];
   readonly prober: BackendProber;
@@ -27,7 +27,7 @@
     this.prober = new BackendProber({
       runtime: this.time.runtime,
       view,
-      sendProbe: ({ id }) => this.asked.push(id),
+      sendProbe: ({ id }) => this.probed.push(id),
     });
     this.chooser = new BackendChooser({
       table: {
@@ -60,8 +60,8 @@
     this.prober.answered(id);
   }
 
-  choose(candidates: readonly BackendInstance[], unanswered = NOTHING_EXCLUDED): string | null {
-    const excluded = NOTHING_EXCLUDED;
+  choose(candidates: readonly BackendInstance[], unanswered = NONE_EXCLUDED): string | null {
+    const excluded = NONE_EXCLUDED;
     const choice = {
       service: SERVICE,
       key: null,
@@ -74,7 +74,7 @@
     return this.chooser.choose(choice)?.id ?? null;
   }
 
-  near(excluded = NOTHING_EXCLUDED): readonly BackendInstance[] {
+  near(excluded = NONE_EXCLUDED): readonly BackendInstance[] {
     return this.chooser.nearCandidates(SERVICE, excluded);
   }
 
@@ -97,26 +97,26 @@
     const fleet = new Fleet(size, size);
     t.is(fleet.near().length, 3);
     t.is(new Set(fleet.near()).size, 3);
-    t.is(fleet.chooser.farCandidates(SERVICE, NOTHING_EXCLUDED).length, Math.min(4, size));
+    t.is(fleet.chooser.farCandidates(SERVICE, NONE_EXCLUDED).length, Math.min(4, size));
   }
 });
 
-test('a round ends with the last answer, and the least busy one is chosen', (t) => {
+test('a round ends with the last answer, and the least busy back end is selected', (t) => {
   const fleet = new Fleet(3, 0);
   const candidates = fleet.near();
   let rounds = 0;
   fleet.prober.probe(candidates, () => (rounds += 1));
-  t.deepEqual([...fleet.asked].sort(), ['near-0', 'near-1', 'near-2']);
+  t.deepEqual([...fleet.probed].sort(), ['near-0', 'near-1', 'near-2']);
   fleet.answer('near-0', 2);
   fleet.answer('near-1', 0);
   t.is(rounds, 0);
   fleet.answer('near-2', 1);
   t.is(rounds, 1);
   t.is(fleet.choose(candidates), 'near-1');
-  t.true(fleet.chooser.hasRoom(candidates));
+  t.true(fleet.chooser.hasCapacity(candidates));
 });
 
-test('a back end whose daemon does not answer is waited for a moment, and passed over', (t) => {
+test('a back end that does not answer its probe delays the selection briefly and is not preferred', (t) => {
   const fleet = new Fleet(2, 0);
   const candidates = fleet.near();
   const rounds: string[][] = [];
@@ -130,43 +130,43 @@
   t.is(fleet.choose(candidates, new Set(rounds[0])), 'near-0');
 });
 
-test('what was told within one service time is not asked again, and after that it is', (t) => {
+test('a status is fresh for one service time, and probed for again afterwards', (t) => {
   const fleet = new Fleet(1, 0);
   fleet.answer('near-0', 1);
   let rounds = 0;
   fleet.time.pass(50);
   fleet.prober.probe(fleet.near(), () => (rounds += 1));
-  t.deepEqual([fleet.asked.length, rounds], [0, 1]);
+  t.deepEqual([fleet.probed.length, rounds], [0, 1]);
   fleet.time.pass(1);
   fleet.prober.probe(fleet.near(), () => (rounds += 1));
-  t.deepEqual([fleet.asked.length, rounds], [1, 1]);
+  t.deepEqual([fleet.probed.length, rounds], [1, 1]);
 });
 
-test('probes do not grow with the load, and a choice does not wait for what may not be asked', (t) => {
+test('the rate of probes is limited, and a selection does not wait for probes over the limit', (t) => {
   const fleet = new Fleet(3, 0);
   let rounds = 0;
   for (let request = 0; request < 100; request += 1) fleet.prober.probe(fleet.near(), () => (rounds += 1));
-  t.is(fleet.asked.length, 30);
+  t.is(fleet.probed.length, 30);
   t.is(rounds, 90);
   fleet.time.pass(1_000);
   for (let request = 0; request < 100; request += 1) fleet.prober.refresh(fleet.near());
-  t.is(fleet.asked.length, 60);
+  t.is(fleet.probed.length, 60);
 });
 
-test('back ends are known to have room only while what was told of them is young', (t) => {
+test('back ends have known capacity only while their status is fresh', (t) => {
   const fleet = new Fleet(2, 0);
-  t.false(fleet.chooser.knowsRoom(fleet.near()));
+  t.false(fleet.chooser.hasKnownCapacity(fleet.near()));
   fleet.answer('near-0', 1);
   fleet.answer('near-1', 2);
-  t.true(fleet.chooser.knowsRoom(fleet.near()));
+  t.true(fleet.chooser.hasKnownCapacity(fleet.near()));
   fleet.views.get('near-0')?.noteSent();
-  t.false(fleet.chooser.knowsRoom(fleet.near()));
+  t.false(fleet.chooser.hasKnownCapacity(fleet.near()));
   fleet.answer('near-0', 1);
   fleet.time.pass(51);
-  t.false(fleet.chooser.knowsRoom(fleet.near()));
+  t.false(fleet.chooser.hasKnownCapacity(fleet.near()));
 });
 
-test('a round that was given up ends without a word', (t) => {
+test('a cancelled round does not call back', (t) => {
   const fleet = new Fleet(1, 0);
   let rounds = 0;
   const giveUp = fleet.prober.probe(fleet.near(), () => (rounds += 1));
@@ -176,13 +176,13 @@
   t.is(rounds, 0);
 });
 
-test('where a zone has few back ends, others are compared with them, and more of it go before others', (t) => {
+test('candidates come from the own zone, and are filled up from other zones where it has too few', (t) => {
   const zonesOf = (near: number): string[] => new Fleet(near, 9).near().map(({ zone }) => zone);
   t.deepEqual(zonesOf(1), ['a', 'b', 'b']);
   t.deepEqual(zonesOf(5), ['a', 'a', 'a']);
 });
 
-test('back ends that failed are candidates only when there are no others', (t) => {
+test('back ends that failed are candidates only if there are no others', (t) => {
   const fleet = new Fleet(2, 0);
   fleet.views.get('near-0')?.noteFailure(fleet.time.nowMs);
   t.deepEqual(
@@ -195,11 +195,11 @@
   );
 });
 
-test('near back ends without room are told from those with some', (t) => {
+test('back ends without free slots are distinguished from those with some', (t) => {
   const fleet = new Fleet(2, 2);
   fleet.answer('near-0', 2);
   fleet.answer('near-1', 3);
-  t.false(fleet.chooser.hasRoom(fleet.instances.slice(0, 2)));
+  t.false(fleet.chooser.hasCapacity(fleet.instances.slice(0, 2)));
   fleet.answer('far-0', 0);
-  t.true(fleet.chooser.hasRoom(fleet.chooser.farCandidates(SERVICE, NOTHING_EXCLUDED)));
+  t.true(fleet.chooser.hasCapacity(fleet.chooser.farCandidates(SERVICE, NONE_EXCLUDED)));
 });
--- a/test/sidecar/load-meter.test.ts
+++ b/test/sidecar/load-meter.test.ts
@@ -1,8 +1,8 @@
-/** Load that is counted when it is asked for, and corrected when it has been served. */
+/** Load that is estimated when it is requested, and corrected when the request has been served. */
 import test from 'ava';
 import { LoadMeter } from '../../src/sidecar/load-meter.js';
 
-test('what was counted too much is taken off what comes later, and never reported as less than nothing', (t) => {
+test('an overestimate is deducted from later load and never reported as a negative value', (t) => {
   const meter = new LoadMeter();
   meter.add(0, 100);
   t.deepEqual(meter.take(), [[0, 100]]);
--- a/test/sidecar/request-forwarder.test.ts
+++ b/test/sidecar/request-forwarder.test.ts
@@ -1,4 +1,4 @@
-/** What follows an attempt that brought no answer. */
+/** Retries, refusals and outcomes of a forwarded request. */
 import test from 'ava';
 import type { BackendInstance, RequestKind } from '../../src/directory/directory-state.js';
 import type { LinkClient, RequestHandlers } from '../../src/link/link-client.js';
@@ -27,7 +27,7 @@
 const LOST_AFTER_SENDING: Reaction = (handlers) => {
   handlers.onLost(true);
 };
-const NEVER_SENT: Reaction = (handlers) => {
+const LOST_BEFORE_SENDING: Reaction = (handlers) => {
   handlers.onLost(false);
 };
 const ANSWER: Reaction = (handlers) => {
@@ -42,15 +42,15 @@
   };
   handlers.onAnswer(head, Buffer.from('ok'));
 };
-const SILENCE: Reaction = () => undefined;
+const NO_REACTION: Reaction = () => undefined;
 
 interface Outcome {
   readonly tried: string[];
   result: string;
   givenUp: GivenUp | null;
   cancelled: number;
-  /** Events that are kept, and those that are sampled. */
-  readonly kept: string[];
+  /** Log events written as failures or decisions, and those that are sampled. */
+  readonly logged: string[];
   readonly sampled: string[];
 }
 
@@ -59,15 +59,15 @@
   readonly maxAttempts?: number;
   readonly mayRepeat?: boolean;
   readonly passMs?: number;
-  /** Time that the caller has spent on earlier tries, in ms. */
+  /** Time in ms that the caller has spent on earlier attempts. */
   readonly spentMs?: number;
 }
 
-/** Runs one request against back ends that react in turn. */
+/** Forwards one request to back ends that react as scripted, one reaction per attempt. */
 function forward(reactions: Record<string, Reaction[]>, setup: Setup = {}): Outcome {
   const { kind = 'safe', maxAttempts = 2, mayRepeat = true, passMs = 2_000, spentMs = 0 } = setup;
   const time = new ManualTime();
-  const outcome: Outcome = { tried: [], result: '', givenUp: null, cancelled: 0, kept: [], sampled: [] };
+  const outcome: Outcome = { tried: [], result: '', givenUp: null, cancelled: 0, logged: [], sampled: [] };
   const instances = Object.keys(reactions).map((id): BackendInstance => {
     return {
       id,
@@ -83,9 +83,9 @@
   const chooser = {
     choose: ({ excluded }: ChoiceRequest) => instances.find(({ id }) => !excluded.has(id)) ?? null,
     nearCandidates: () => instances,
-    hasRoom: () => true,
-    knowsRoom: () => false,
-    targetOf: () => null,
+    hasCapacity: () => true,
+    hasKnownCapacity: () => false,
+    moveTargetOf: () => null,
   } as unknown as BackendChooser;
   const prober = {
     probe: (_candidates: unknown, done: ProbesDone) => {
@@ -99,7 +99,7 @@
       unreachable: false,
       request: (_head: unknown, _body: unknown, handlers: RequestHandlers) => {
         outcome.tried.push(id);
-        const reaction = reactions[id]?.shift() ?? SILENCE;
+        const reaction = reactions[id]?.shift() ?? NO_REACTION;
         time.runtime.after(1, () => {
           reaction(handlers);
         });
@@ -147,8 +147,8 @@
     {
       runtime: time.runtime,
       log: {
-        event: (name) => outcome.kept.push(name),
-        failure: (name) => outcome.kept.push(name),
+        event: (name) => outcome.logged.push(name),
+        failure: (name) => outcome.logged.push(name),
         routine: (name) => outcome.sampled.push(name),
       },
       chooser,
@@ -175,48 +175,48 @@
   readonly result: string;
 }
 
-const UNSAFE: Setup = { kind: 'non-idempotent' };
+const NON_IDEMPOTENT: Setup = { kind: 'non-idempotent' };
 
 const CASES: readonly Case[] = [
   { name: 'an answer', reactions: { a: [ANSWER] }, tried: ['a'], result: 'answer 200' },
   {
-    name: 'a refusal between daemons costs nothing, so another back end is tried without the allowance',
+    name: 'a refusal by a sidecar needs no retry allowance: another back end is tried',
     reactions: { a: [refuse('busy')], b: [ANSWER] },
     setup: { mayRepeat: false, maxAttempts: 1 },
     tried: ['a', 'b'],
     result: 'answer 200',
   },
   {
-    name: 'three of several daemons are busy: it goes to no further one',
+    name: 'after three busy refusals no further back end is tried',
     reactions: { a: [refuse('busy')], b: [refuse('busy')], c: [refuse('busy')], d: [ANSWER] },
     setup: { passMs: 5 },
     tried: ['a', 'b', 'c'],
     result: 'not-run',
   },
   {
-    name: 'daemons that are leaving do not count as busy ones',
+    name: 'refusals by leaving sidecars do not count as busy ones',
     reactions: { a: [refuse('busy')], b: [refuse('leaving')], c: [refuse('busy')], d: [ANSWER] },
     tried: ['a', 'b', 'c', 'd'],
     result: 'answer 200',
   },
   {
-    name: 'all are busy: it ends at once, and has not run',
+    name: 'with all back ends busy the request ends at once as not run',
     reactions: { a: [refuse('busy')], b: [refuse('busy')] },
     setup: { passMs: 5 },
     tried: ['a', 'b'],
     result: 'not-run',
   },
   {
-    name: 'a refusal by the back end itself is an arrival: without allowance it is final',
+    name: 'a refusal by the back end itself counts as an arrival, and is final without retry allowance',
     reactions: { a: [refuse('declined', true)], b: [ANSWER] },
     setup: { mayRepeat: false },
     tried: ['a'],
     result: 'not-run',
   },
   {
-    name: 'a request that may not repeat goes on after a refusal',
+    name: 'a non-idempotent request is sent elsewhere after a refusal',
     reactions: { a: [refuse('leaving')], b: [ANSWER] },
-    setup: UNSAFE,
+    setup: NON_IDEMPOTENT,
     tried: ['a', 'b'],
     result: 'answer 200',
   },
@@ -227,41 +227,41 @@
     result: 'answer 200',
   },
   {
-    name: 'no more back ends than the route allows',
+    name: 'a request arrives at no more back ends than maxAttempts of its route',
     reactions: { a: [BROKEN], b: [BROKEN], c: [ANSWER] },
     tried: ['a', 'b'],
     result: 'unknown',
   },
   {
-    name: 'without allowance a broken answer is final',
+    name: 'without retry allowance a broken answer is final',
     reactions: { a: [BROKEN], b: [ANSWER] },
     setup: { mayRepeat: false },
     tried: ['a'],
     result: 'unknown',
   },
   {
-    name: 'a request that may not repeat is not sent again after a broken answer',
+    name: 'a non-idempotent request is not repeated after a broken answer',
     reactions: { a: [BROKEN], b: [ANSWER] },
-    setup: UNSAFE,
+    setup: NON_IDEMPOTENT,
     tried: ['a'],
     result: 'unknown',
   },
   {
-    name: 'nor after the connection to the other daemon was lost',
+    name: 'a non-idempotent request is not repeated after the connection was lost with the request sent',
     reactions: { a: [LOST_AFTER_SENDING], b: [ANSWER] },
-    setup: UNSAFE,
+    setup: NON_IDEMPOTENT,
     tried: ['a'],
     result: 'unknown',
   },
   {
-    name: 'but it is when no byte had left',
-    reactions: { a: [NEVER_SENT], b: [ANSWER] },
-    setup: UNSAFE,
+    name: 'a non-idempotent request is sent elsewhere after the connection was lost before sending',
+    reactions: { a: [LOST_BEFORE_SENDING], b: [ANSWER] },
+    setup: NON_IDEMPOTENT,
     tried: ['a', 'b'],
     result: 'answer 200',
   },
   {
-    name: 'a refusal after an attempt that may have run does not say that it has not run',
+    name: 'a refusal after an attempt that may have run leaves the outcome unknown',
     reactions: { a: [BROKEN], b: [refuse('busy')] },
     tried: ['a', 'b'],
     result: 'unknown',
@@ -276,41 +276,41 @@
   });
 }
 
-test('when the time is up the attempt is taken back, and the outcome is unknown', (t) => {
-  const outcome = forward({ a: [SILENCE] });
+test('at the deadline the attempt is cancelled and the outcome is unknown', (t) => {
+  const outcome = forward({ a: [NO_REACTION] });
   t.like(outcome.givenUp, { kind: 'unknown', timedOut: true });
   t.is(outcome.cancelled, 1);
 });
 
-test('a request that waits beside a back end until its time is nearly up was not run, and its caller is told', (t) => {
-  const outcome = forward({ a: [SILENCE, refuse('cancelled')] }, { kind: 'non-idempotent' });
+test('a request still queued shortly before its deadline is withdrawn and reported as not run', (t) => {
+  const outcome = forward({ a: [NO_REACTION, refuse('cancelled')] }, { kind: 'non-idempotent' });
   t.like(outcome.givenUp, { kind: 'not-run' });
   t.deepEqual(outcome.tried, ['a']);
 });
 
-test('a daemon that left without running a request is no reason to give up', (t) => {
-  const outcome = forward({ a: [NEVER_SENT], b: [ANSWER] }, { kind: 'non-idempotent' });
+test('a request is sent elsewhere when its sidecar disconnects before receiving it', (t) => {
+  const outcome = forward({ a: [LOST_BEFORE_SENDING], b: [ANSWER] }, { kind: 'non-idempotent' });
   t.deepEqual(outcome.tried, ['a', 'b']);
   t.is(outcome.result, 'answer 200');
 });
 
-test('a request that has not run says when to come back', (t) => {
+test('a request that was not run ends with a retry-after time', (t) => {
   const outcome = forward({ a: [refuse('busy')] });
   t.true(outcome.givenUp?.kind === 'not-run' && outcome.givenUp.retryAfterMs > 0);
 });
 
-test('without any back end a request looks for one for a part of its target, and ends', (t) => {
+test('without any back end a request searches for part of its target latency and then ends', (t) => {
   t.is(forward({}, { passMs: 150 }).result, 'not-run');
 });
 
-test('an answer in time is sampled in the log, and a late one is kept', (t) => {
+test('an answer in time is logged as a sampled event, and a late one as a failure', (t) => {
   const inTime = forward({ a: [ANSWER] });
-  t.deepEqual([inTime.kept, inTime.sampled], [[], ['request-answered']]);
+  t.deepEqual([inTime.logged, inTime.sampled], [[], ['request-answered']]);
   const late = forward({ a: [ANSWER] }, { spentMs: 399.5 });
-  t.deepEqual([late.kept, late.sampled], [['request-answered'], []]);
+  t.deepEqual([late.logged, late.sampled], [['request-answered'], []]);
 });
 
-test('when to come back is what the refusing daemon says', (t) => {
+test('the retry-after time is that of the refusing sidecar', (t) => {
   const outcome = forward({
     a: [
       (handlers) => handlers.onRefusal({ reason: 'busy', arrived: false, retryAfterMs: 321, status: null }),
@@ -319,7 +319,7 @@
   t.like(outcome.givenUp, { kind: 'not-run', retryAfterMs: 321 });
 });
 
-test('a caller that came back looks on for a back end while work could follow', (t) => {
+test('a retry of a caller searches for a back end as long as the work could still be done', (t) => {
   t.is(forward({}, { passMs: 550, spentMs: 300 }).result, '');
   t.is(forward({}, { passMs: 650, spentMs: 300 }).result, 'not-run');
 });
--- a/test/sidecar/retry-allowance.test.ts
+++ b/test/sidecar/retry-allowance.test.ts
@@ -1,10 +1,10 @@
-/** The retry budget over all daemons. */
+/** Retry allowances of all sidecars against the shared budget. */
 import test from 'ava';
 import { RetryAllowance } from '../../src/sidecar/retry-allowance.js';
 
 const BUDGET = { ratio: 0.2, extra: 60, windowMs: 10_000 };
 
-test('the allowances of all daemons together stay within the budget in every window', (t) => {
+test('the allowances of all sidecars together stay within the budget in every window', (t) => {
   const daemons = 12;
   const allowances = Array.from({ length: daemons }, () => new RetryAllowance(BUDGET));
   const repeats: number[] = [];
@@ -25,7 +25,7 @@
   }
 });
 
-test('a daemon alone may use half of the fixed number at once', (t) => {
+test('a single sidecar may use half of the fixed number at once', (t) => {
   const allowance = new RetryAllowance(BUDGET);
   let taken = 0;
   while (allowance.takeRepeat(0, 1)) taken += 1;
--- a/test/sidecar/route-table.test.ts
+++ b/test/sidecar/route-table.test.ts
@@ -1,4 +1,4 @@
-/** Routes by host and path, and their weights. */
+/** Route lookup by host and path, weighted distribution and statistics of routes. */
 import test from 'ava';
 import fc from 'fast-check';
 import type { ConfigurationItem, WeightedService } from '../../src/directory/directory-state.js';
@@ -39,7 +39,7 @@
   });
 }
 
-test('services take turns in exact proportion to their weights, and one of weight 0 gets nothing', (t) => {
+test('requests are distributed in exact proportion to the weights, and weight 0 gets none', (t) => {
   const weights = [
     { service: 'a', weight: 90 },
     { service: 'b', weight: 10 },
@@ -54,7 +54,7 @@
   t.deepEqual(Object.fromEntries(counts), { a: 180, b: 20 });
 });
 
-test('the longest prefix wins among any, also where prefixes do not end with a slash', (t) => {
+test('the longest matching prefix is used, also if prefixes do not end with a slash', (t) => {
   const segment = fc.constantFrom('', 'a', 'b', 'ab', 'a/', '/', 'a/b', 'b/');
   const texts = fc.array(segment, { maxLength: 4 }).map((parts) => `/${parts.join('')}`);
   const property = fc.property(fc.uniqueArray(texts, { maxLength: 12 }), texts, (prefixes, path) => {
@@ -70,9 +70,9 @@
   });
 });
 
-test('what was seen of a route is kept when it is changed, and not when it moves to another host', (t) => {
+test('statistics are kept when a route changes, and discarded when it moves to another host', (t) => {
   const first = new RouteTable([route('r', 'h', '/', TO_A)]);
-  first.find('h', '/')?.noteAnswer(90_000);
+  first.find('h', '/')?.recordAnswerSize(90_000);
   const seenBytes = first.find('h', '/')?.answerBytes;
   const changed = new RouteTable([route('r', 'h', '/x/', TO_A)], first);
   t.is(changed.find('h', '/x/')?.answerBytes, seenBytes);
