--- a/lab/chain/chain-caller.ts
+++ b/lab/chain/chain-caller.ts
@@ -1,5 +1,5 @@
 /** Callers in front of a simulated chain. They come back after a refusal when they are told to, as long as they can. */
-import type { GivenUp } from '../../src/sidecar/caller-request.js';
+import type { UnansweredOutcome } from '../../src/sidecar/caller-request.js';
 import type { Random } from '../random.js';
 import type { ChainDaemon } from './chain-daemon.js';
 import type { ChainReport } from './chain-report.js';
@@ -54,7 +54,7 @@
         const outcome = statusCode >= FIRST_FAILURE_STATUS ? 'failed' : inTime ? 'in-time' : 'late';
         report.note(service.name, startedMs, outcome);
       },
-      onGivenUp: (outcome: GivenUp) => {
+      onGivenUp: (outcome: UnansweredOutcome) => {
         if (outcome.kind !== 'not-run') {
           report.note(service.name, startedMs, 'failed');
           return;
--- a/lab/chain/chain-daemon.ts
+++ b/lab/chain/chain-daemon.ts
@@ -9,9 +9,9 @@
 import { OPEN_GUARD } from '../../src/sidecar/crash-guard.js';
 import { BackendProber } from '../../src/sidecar/backend-prober.js';
 import { BackendView } from '../../src/sidecar/backend-view.js';
-import type { CallerSink, GivenUp } from '../../src/sidecar/caller-request.js';
+import type { CallerSink, UnansweredOutcome } from '../../src/sidecar/caller-request.js';
 import { DirectoryTable } from '../../src/sidecar/directory-table.js';
-import { forwarderCounters } from '../../src/sidecar/forwarder-counters.js';
+import { createForwarderCounters } from '../../src/sidecar/forwarder-counters.js';
 import { DEFAULT_HEADER_DIALECT } from '../../src/sidecar/header-dialect.js';
 import { ForwardedRequest, type ForwarderPorts } from '../../src/sidecar/request-forwarder.js';
 import { RequestIntake } from '../../src/sidecar/request-intake.js';
@@ -50,7 +50,7 @@
 /** What becomes of it; one of the two. */
 export interface ChainRequestHandlers {
   onAnswer(statusCode: number): void;
-  onGivenUp(outcome: GivenUp): void;
+  onGivenUp(outcome: UnansweredOutcome): void;
 }
 
 /** A daemon. */
@@ -60,7 +60,7 @@
   private readonly views = new Map<string, BackendView>();
   private readonly links = new Map<string, Link>();
   private readonly allowances = new Map<string, RetryAllowance>();
-  private readonly counters = forwarderCounters();
+  private readonly counters = createForwarderCounters();
   private readonly chooser: BackendChooser;
   private readonly prober: BackendProber;
   private readonly intake: RequestIntake;
@@ -123,15 +123,15 @@
       body: Buffer.alloc(0),
     });
     if ('statusCode' in prepared) throw new Error(`invariant broken: ${prepared.reason}`);
-    this.allowanceOf(prepared.service).noteRequest(this.ports.time.queue.nowMs);
+    this.allowanceOf(prepared.service).recordRequest(this.ports.time.queue.nowMs);
     const sink: CallerSink = {
       answer: (head) => {
         handlers.onAnswer(head.statusCode);
       },
       body: () => undefined,
       end: () => undefined,
-      breakOff: () => undefined,
-      giveUp: (outcome) => {
+      abort: () => undefined,
+      fail: (outcome) => {
         handlers.onGivenUp(outcome);
       },
     };
@@ -161,7 +161,7 @@
       const status = other.gateway.status();
       if (status === null) return;
       other.transmit(this, () => {
-        this.viewOf(id).noteStatus(status, this.ports.time.queue.nowMs);
+        this.viewOf(id).recordStatus(status, this.ports.time.queue.nowMs);
         this.prober.answered(id);
       });
     });
--- a/lab/sim/fleet/fleet-callers.ts
+++ b/lab/sim/fleet/fleet-callers.ts
@@ -1,6 +1,6 @@
 /** Callers of a simulated fleet: they send requests at any machine and, as far as the answer allows, try again. */
 import type { RouteDefinition } from '../../../src/directory/directory-state.js';
-import { answerGivenUp } from '../../../src/sidecar/caller-server.js';
+import { localAnswerFor } from '../../../src/sidecar/caller-server.js';
 import type { CallerSink } from '../../../src/sidecar/caller-request.js';
 import { DEFAULT_HEADER_DIALECT } from '../../../src/sidecar/header-dialect.js';
 import type { Random } from '../../random.js';
@@ -121,14 +121,14 @@
       },
       body: () => undefined,
       end: () => undefined,
-      breakOff: () => undefined,
-      giveUp: (outcome) => {
-        const own = answerGivenUp(outcome);
+      abort: () => undefined,
+      fail: (outcome) => {
+        const own = localAnswerFor(outcome);
         answered(own.statusCode, own.retryAfterMs ?? 0);
       },
     };
     const key = traffic.key(number);
-    const taken = machine.callers?.take(
+    const taken = machine.callers?.handle(
       {
         method: traffic.method,
         path: traffic.path(number),
--- a/src/sidecar/backend-gateway.ts
+++ b/src/sidecar/backend-gateway.ts
@@ -25,7 +25,14 @@
 import { gatewayCounters, slotTimeUse } from './gateway-counters.js';
 import { headerValue } from './header-dialect.js';
 import { LateOutlook, type LateWaitOutcome } from './late-outlook.js';
-import { isTooLateToBegin, lateOrder, lateWaitMs, placeOrder, placeWaitMs, spareMs } from './place-policy.js';
+import {
+  isTooLateToStart,
+  lateQueueOrder,
+  maxLateWaitMs,
+  queueOrder,
+  maxSlotWaitMs,
+  slackTimeMs,
+} from './place-policy.js';
 import { RunReports } from './run-reports.js';
 import { SuspectRuns, type Suspect } from './suspect-runs.js';
 import { WorkForecast } from './work-forecast.js';
@@ -203,10 +210,10 @@
   private changeWaitMs(head: RequestHead): number {
     const claim = this.forecast.claimOf(head, null);
     const meanMs = this.forecast.workMs(head.route);
-    const inTimeMs = Math.max(head.patienceMs, spareMs(claim, meanMs));
+    const inTimeMs = Math.max(head.patienceMs, slackTimeMs(claim, meanMs));
     // A first try that is refused comes back; one that came back has nothing to lose by waiting.
     const hasComeBack = head.spentMs > 0 && policyIsOn('key-patience');
-    const waitMs = hasComeBack ? Math.max(inTimeMs, lateWaitMs(claim, 0, meanMs)) : inTimeMs;
+    const waitMs = hasComeBack ? Math.max(inTimeMs, maxLateWaitMs(claim, 0, meanMs)) : inTimeMs;
     return Math.min(Math.max(0, head.remainingMs - meanMs), waitMs);
   }
 
@@ -321,9 +328,9 @@
     let waits = false;
     const applicant: Applicant = {
       priority: forecast.rankOf(head),
-      order: placeOrder(claim, arrivedMs, meanMs),
-      reserve: spareMs(claim, meanMs) > 0 ? forecast.reserveOf(head) : forecast.lateReserveOf(head),
-      expiresMs: nowMs + placeWaitMs(claim, nowMs - arrivedMs, meanMs),
+      order: queueOrder(claim, arrivedMs, meanMs),
+      reserve: slackTimeMs(claim, meanMs) > 0 ? forecast.reserveOf(head) : forecast.lateReserveOf(head),
+      expiresMs: nowMs + maxSlotWaitMs(claim, nowMs - arrivedMs, meanMs),
       start: () => {
         this.start(visit);
       },
@@ -345,7 +352,7 @@
     const nowMs = this.ports.runtime.nowMs();
     const { forecast } = this;
     const claim = forecast.claimOf(head, visit);
-    const waitMs = lateWaitMs(claim, nowMs - arrivedMs, forecast.workMs(head.route));
+    const waitMs = maxLateWaitMs(claim, nowMs - arrivedMs, forecast.workMs(head.route));
     const missesLink = forecast.hasMissedLink(head, visit, nowMs - arrivedMs);
     const possible = policyIsOn('late-waiting') && !this.stopped && waitMs > 0 && !missesLink;
     if (!possible || !this.lateOutlook.mayWait(waitMs, this.admission.slots, nowMs)) {
@@ -356,7 +363,7 @@
     visit.late = true;
     const applicant: Applicant = {
       priority: head.priority,
-      order: lateOrder(claim, arrivedMs),
+      order: lateQueueOrder(claim, arrivedMs),
       reserve: forecast.lateReserveOf(head),
       expiresMs: nowMs + waitMs,
       start: () => {
@@ -442,7 +449,7 @@
   private isTooLate(visit: Visit, leftMs: number, waitedMs: number): boolean {
     const { head } = visit;
     const workLeftMs = leftMs - this.forecast.sendMs(head.route, visit);
-    const tooLate = isTooLateToBegin(workLeftMs, this.forecast.workMs(head.route));
+    const tooLate = isTooLateToStart(workLeftMs, this.forecast.workMs(head.route));
     return tooLate || this.forecast.hasMissedLink(head, visit, waitedMs);
   }
 
--- a/src/sidecar/backend-view.ts
+++ b/src/sidecar/backend-view.ts
@@ -66,31 +66,31 @@
   }
 
   /** Records a status reported by the back end's sidecar. */
-  noteStatus(status: StatusHead, nowMs: number): void {
+  recordStatus(status: StatusHead, nowMs: number): void {
     this.lastStatus = status;
     this.statusReceivedMs = nowMs;
     this.sentSinceStatus = 0;
   }
 
   /** Records that a request was sent to the back end. */
-  noteSent(): void {
+  recordSent(): void {
     this.outstanding += 1;
     this.sentSinceStatus += 1;
   }
 
   /** Records that a request sent to the back end has ended. */
-  noteEnded(): void {
+  recordEnded(): void {
     this.outstanding = Math.max(0, this.outstanding - 1);
   }
 
   /** Records an answer, which ends any backoff. */
-  noteSuccess(): void {
+  recordSuccess(): void {
     this.consecutiveFailures = 0;
     this.backoffUntilMs = -Infinity;
   }
 
   /** Records that the back end could not be reached or interrupted an answer, and starts the backoff. */
-  noteFailure(nowMs: number): void {
+  recordFailure(nowMs: number): void {
     this.consecutiveFailures = Math.min(this.consecutiveFailures + 1, BACKOFF_MS.length - 1);
     this.backoffUntilMs = nowMs + (BACKOFF_MS[this.consecutiveFailures] ?? 0);
   }
--- a/src/sidecar/caller-request.ts
+++ b/src/sidecar/caller-request.ts
@@ -25,7 +25,7 @@
 export const QUARANTINE_REASON = 'back ends ended while running this request; it is not run again';
 
 /** Outcome of a request that ends without an answer of a back end. */
-export type GivenUp =
+export type UnansweredOutcome =
   /** The request was not run and will not be. */
   | { readonly kind: 'not-run'; readonly reason: string; readonly retryAfterMs: number }
   /** The request was not run and must not be retried: it has ended the back ends that ran it. */
@@ -42,7 +42,7 @@
   /** Final: the answer is complete. */
   end(): void;
   /** Final: the answer was interrupted after it had started. */
-  breakOff(): void;
+  abort(): void;
   /** Final: no back end answered. */
-  giveUp(outcome: GivenUp): void;
+  fail(outcome: UnansweredOutcome): void;
 }
--- a/src/sidecar/caller-requests.ts
+++ b/src/sidecar/caller-requests.ts
@@ -1,11 +1,11 @@
 /** The callers' requests that are in flight at one sidecar. */
 import { QUARANTINE_REASON, type CallerRequest, type CallerSink } from './caller-request.js';
 import {
-  ownAnswer,
-  OWN_STATUS,
+  localAnswer,
+  LOCAL_STATUS,
   type IncomingRequest,
-  type OwnAnswer,
-  type TakenRequest,
+  type LocalAnswer,
+  type RequestHandle,
 } from './caller-server.js';
 import type { DirectoryTable } from './directory-table.js';
 import type { ForwarderCounters } from './forwarder-counters.js';
@@ -15,7 +15,7 @@
 import { RetryAllowance, type RetryBudget } from './retry-allowance.js';
 
 /** Dependencies that the sidecar provides. */
-export interface CallerRequestsPorts {
+export interface CallerRequestPorts {
   readonly intake: RequestIntake;
   readonly table: DirectoryTable;
   readonly forwarding: Omit<ForwarderPorts, 'takeRepeat' | 'mayRepeat'>;
@@ -31,7 +31,7 @@
   private readonly forwarderPorts: ForwarderPorts;
 
   constructor(
-    private readonly ports: CallerRequestsPorts,
+    private readonly ports: CallerRequestPorts,
     private readonly counters: ForwarderCounters,
   ) {
     const { forwarding, daemons } = ports;
@@ -43,12 +43,12 @@
   }
 
   /** Starts forwarding a request, or returns an immediate answer. */
-  take(incoming: IncomingRequest, sink: CallerSink): TakenRequest | OwnAnswer {
+  handle(incoming: IncomingRequest, sink: CallerSink): RequestHandle | LocalAnswer {
     const prepared = this.ports.intake.prepare(incoming);
     if ('statusCode' in prepared) return prepared;
     const refused = this.quarantineAnswer(prepared);
     if (refused !== null) return refused;
-    this.allowanceOf(prepared.service).noteRequest(this.ports.forwarding.runtime.steadyMs());
+    this.allowanceOf(prepared.service).recordRequest(this.ports.forwarding.runtime.steadyMs());
     const forwarded = new ForwardedRequest(
       prepared,
       sinkWithCompletion(sink, () => this.requestsInFlight.delete(forwarded)),
@@ -66,14 +66,14 @@
   }
 
   /** Returns the final answer to a quarantined request before any work is spent on it; null if it may run. */
-  private quarantineAnswer(request: CallerRequest): OwnAnswer | null {
+  private quarantineAnswer(request: CallerRequest): LocalAnswer | null {
     const { forwarding } = this.ports;
     const fingerprint = this.quarantinedFingerprint(request);
     if (fingerprint === null) return null;
     this.counters.quarantined += 1;
     const { requestId, route, service } = request;
     forwarding.log.event('request-quarantined', { requestId, route: route.name, service, fingerprint });
-    return ownAnswer(OWN_STATUS.quarantined, QUARANTINE_REASON);
+    return localAnswer(LOCAL_STATUS.quarantined, QUARANTINE_REASON);
   }
 
   /** Returns the fingerprint of a request that no back end of its service may run; null if one may. */
@@ -111,13 +111,13 @@
       onComplete();
       sink.end();
     },
-    breakOff: () => {
+    abort: () => {
       onComplete();
-      sink.breakOff();
+      sink.abort();
     },
-    giveUp: (outcome) => {
+    fail: (outcome) => {
       onComplete();
-      sink.giveUp(outcome);
+      sink.fail(outcome);
     },
   };
 }
--- a/src/sidecar/caller-server.ts
+++ b/src/sidecar/caller-server.ts
@@ -8,7 +8,7 @@
 import type { AnswerHead } from '../link/link-messages.js';
 import type { SocketAddress } from '../model/socket-address.js';
 import { Err, Ok, type Result } from '../result.js';
-import type { CallerSink, GivenUp } from './caller-request.js';
+import type { CallerSink, UnansweredOutcome } from './caller-request.js';
 
 /** Maximum size of a header block that is read, in bytes; the configured limit is checked afterwards. */
 const MAX_HEADER_BLOCK_BYTES = 128 * 1024;
@@ -33,14 +33,14 @@
 }
 
 /** An answer that the sidecar itself generates. */
-export interface OwnAnswer {
+export interface LocalAnswer {
   readonly statusCode: number;
   readonly retryAfterMs: number | null;
   readonly reason: string;
 }
 
 /** Handle of a request that is being forwarded. */
-export interface TakenRequest {
+export interface RequestHandle {
   /** Cancels the request after its caller has disconnected. */
   cancel(): void;
 }
@@ -51,11 +51,11 @@
   /** Whether connections are to be closed after their current request. */
   readonly closing: () => boolean;
   /** Starts forwarding a request, or returns an immediate answer. */
-  readonly take: (request: IncomingRequest, sink: CallerSink) => TakenRequest | OwnAnswer;
+  readonly handle: (request: IncomingRequest, sink: CallerSink) => RequestHandle | LocalAnswer;
 }
 
 /** HTTP statuses of the answers that the sidecar itself generates. */
-export const OWN_STATUS = {
+export const LOCAL_STATUS = {
   badRequest: 400,
   /** A client error, so that callers do not retry. */
   quarantined: 400,
@@ -64,7 +64,7 @@
   headersTooLarge: 431,
   unknownOutcome: 502,
   notRun: 503,
-  timeUp: 504,
+  deadlinePassed: 504,
 } as const;
 
 /** HTTP server for callers. */
@@ -128,7 +128,7 @@
 
   private receive(request: IncomingMessage, response: ServerResponse): void {
     this.activeCount += 1;
-    let forwarded: TakenRequest | null = null;
+    let forwarded: RequestHandle | null = null;
     response.once('close', () => {
       this.activeCount -= 1;
       if (!response.writableFinished) forwarded?.cancel();
@@ -136,7 +136,7 @@
     request.on('error', () => undefined);
     response.on('error', () => undefined);
     if (headerBytes(request.rawHeaders) > this.ports.limits().maxHeaderBytes) {
-      this.sendLocalAnswer(response, ownAnswer(OWN_STATUS.headersTooLarge, 'the headers are too large'));
+      this.sendLocalAnswer(response, localAnswer(LOCAL_STATUS.headersTooLarge, 'the headers are too large'));
       return;
     }
     this.readBody(request, response, (body) => {
@@ -156,14 +156,14 @@
       request.removeAllListeners('data');
       request.removeAllListeners('end');
       request.resume();
-      this.sendLocalAnswer(response, ownAnswer(OWN_STATUS.bodyTooLarge, 'the body is too large'));
+      this.sendLocalAnswer(response, localAnswer(LOCAL_STATUS.bodyTooLarge, 'the body is too large'));
     });
     request.on('end', () => {
       done(chunks.length === 1 && chunks[0] !== undefined ? chunks[0] : Buffer.concat(chunks));
     });
   }
 
-  private dispatch(request: IncomingMessage, response: ServerResponse, body: Buffer): TakenRequest | null {
+  private dispatch(request: IncomingMessage, response: ServerResponse, body: Buffer): RequestHandle | null {
     if (response.destroyed) return null;
     const incoming: IncomingRequest = {
       method: request.method ?? 'GET',
@@ -172,7 +172,7 @@
       headers: request.rawHeaders,
       body,
     };
-    const result = this.ports.take(incoming, this.makeSink(response));
+    const result = this.ports.handle(incoming, this.makeSink(response));
     if ('cancel' in result) return result;
     this.sendLocalAnswer(response, result);
     return null;
@@ -191,11 +191,11 @@
       end: () => {
         response.end();
       },
-      breakOff: () => {
+      abort: () => {
         response.destroy();
       },
-      giveUp: (outcome) => {
-        this.sendLocalAnswer(response, answerGivenUp(outcome));
+      fail: (outcome) => {
+        this.sendLocalAnswer(response, localAnswerFor(outcome));
       },
     };
   }
@@ -213,7 +213,7 @@
     response.writeHead(head.statusCode, headers);
   }
 
-  private sendLocalAnswer(response: ServerResponse, answer: OwnAnswer): void {
+  private sendLocalAnswer(response: ServerResponse, answer: LocalAnswer): void {
     if (response.headersSent || response.destroyed) return;
     if (this.ports.closing()) response.shouldKeepAlive = false;
     const headers = ['content-type', 'text/plain'];
@@ -228,19 +228,19 @@
 }
 
 /** Creates an answer without a retry-after time. */
-export function ownAnswer(statusCode: number, reason: string): OwnAnswer {
+export function localAnswer(statusCode: number, reason: string): LocalAnswer {
   return { statusCode, reason, retryAfterMs: null };
 }
 
 /** Returns the answer to a request that ended without an answer of a back end. */
-export function answerGivenUp(outcome: GivenUp): OwnAnswer {
+export function localAnswerFor(outcome: UnansweredOutcome): LocalAnswer {
   if (outcome.kind === 'not-run') {
     const { reason, retryAfterMs } = outcome;
-    return { statusCode: OWN_STATUS.notRun, reason, retryAfterMs };
+    return { statusCode: LOCAL_STATUS.notRun, reason, retryAfterMs };
   }
-  if (outcome.kind === 'quarantined') return ownAnswer(OWN_STATUS.quarantined, outcome.reason);
-  const statusCode = outcome.timedOut ? OWN_STATUS.timeUp : OWN_STATUS.unknownOutcome;
-  return ownAnswer(statusCode, outcome.reason);
+  if (outcome.kind === 'quarantined') return localAnswer(LOCAL_STATUS.quarantined, outcome.reason);
+  const statusCode = outcome.timedOut ? LOCAL_STATUS.deadlinePassed : LOCAL_STATUS.unknownOutcome;
+  return localAnswer(statusCode, outcome.reason);
 }
 
 function headerBytes(headers: readonly string[]): number {
--- a/src/sidecar/forwarder-counters.ts
+++ b/src/sidecar/forwarder-counters.ts
@@ -28,7 +28,7 @@
 }
 
 /** Creates counters that are all zero. */
-export function forwarderCounters(): ForwarderCounters {
+export function createForwarderCounters(): ForwarderCounters {
   return {
     attempts: 0,
     repeats: 0,
--- a/src/sidecar/link-outlook.ts
+++ b/src/sidecar/link-outlook.ts
@@ -9,7 +9,7 @@
 export type LinkQueue = Pick<LinkPacer, 'backlogMs' | 'sendingMs'>;
 
 /** Estimates waits for the network link. `Owner` identifies the request whose answer is expected. */
-export class LinkOutlook<Owner> {
+export class LinkWaitEstimator<Owner> {
   /** Estimated time on the link, in ms, of each expected answer that is not on the link yet. */
   private readonly expectedByOwner = new Map<Owner, number>();
   private expectedMs = 0;
@@ -23,7 +23,7 @@
   }
 
   /** Returns the wait in ms without the expected answer of one owner. */
-  waitMsBeside(owner: Owner): number {
+  waitMsExcluding(owner: Owner): number {
     return Math.max(0, this.waitMs - this.expectedMsOf(owner));
   }
 
--- a/src/sidecar/peer-daemons.ts
+++ b/src/sidecar/peer-daemons.ts
@@ -19,7 +19,7 @@
   /** Local IP address to dial from; null to let the system choose. */
   readonly dialFrom: string | null;
   /** Address of this sidecar's own link server, also used for a peer whose address cannot be parsed. */
-  readonly ownLinks: SocketAddress;
+  readonly ownLinkAddress: SocketAddress;
   /** Paces large frames on a slow network link; null if the link is fast. */
   readonly pacer: LinkPacer | null;
   /** Called when a peer reports the status of its back end outside of an answer. */
@@ -52,10 +52,10 @@
   linkTo({ daemonAddress }: BackendInstance): Link {
     const existing = this.links.get(daemonAddress);
     if (existing !== undefined) return existing;
-    const { dialFrom, ownLinks, pacer } = this.ports;
-    const address = parseAddress(daemonAddress) ?? ownLinks;
+    const { dialFrom, ownLinkAddress, pacer } = this.ports;
+    const address = parseAddress(daemonAddress) ?? ownLinkAddress;
     // Traffic within this machine does not use the network link.
-    const isOwn = address.host === ownLinks.host;
+    const isOwn = address.host === ownLinkAddress.host;
     const usedPacer = isOwn || !policyIsOn('link-accounting') ? null : pacer;
     const route = { address, localAddress: dialFrom, pacer: usedPacer };
     const link = this.ports.dialLink(route, {
@@ -71,7 +71,7 @@
   }
 
   /** Closes idle links to sidecars without a registered back end, and discards the state of removed back ends. */
-  keepOnly(instances: Iterable<BackendInstance>): void {
+  retainOnly(instances: Iterable<BackendInstance>): void {
     const ids = new Set<string>();
     const addresses = new Set<string>();
     for (const { id, daemonAddress } of instances) {
@@ -95,7 +95,7 @@
   }
 
   private recordStatus(status: StatusHead): void {
-    this.viewOf(status.instance).noteStatus(status, this.ports.runtime.nowMs());
+    this.viewOf(status.instance).recordStatus(status, this.ports.runtime.nowMs());
     this.ports.onStatus(status.instance);
   }
 }
--- a/src/sidecar/place-policy.ts
+++ b/src/sidecar/place-policy.ts
@@ -2,7 +2,7 @@
 import { policyIsOn } from '../policy-switches.js';
 
 /** Time limits that a request states, in ms. */
-export interface PlaceClaim {
+export interface RequestTimeLimits {
   /** Time left until the deadline. */
   readonly remainingMs: number;
   /** Time for which it may wait for a slot in any case. */
@@ -28,7 +28,7 @@
 const MIN_WORK_TIME_FACTOR = 0.5;
 
 /** Whether so little time is left that the deadline would interrupt the work, which would be wasted. */
-export function isTooLateToBegin(leftMs: number, meanMs: number): boolean {
+export function isTooLateToStart(leftMs: number, meanMs: number): boolean {
   return leftMs <= Math.max(1, MIN_WORK_TIME_FACTOR * meanMs);
 }
 
@@ -40,7 +40,7 @@
 const LATE_ORDER_OFFSET_MS = 2_000_000;
 
 /** Returns the slack in ms: how long a request can wait and still meet its target, counted from the current attempt. */
-export function spareMs({ targetLeftMs }: PlaceClaim, meanMs: number): number {
+export function slackTimeMs({ targetLeftMs }: RequestTimeLimits, meanMs: number): number {
   return Math.max(0, targetLeftMs - WORK_TIME_FACTOR * meanMs);
 }
 
@@ -49,19 +49,19 @@
  * caller's first attempt are worth most, then those that can meet it counted from the current attempt. Late requests
  * are worth least, and would make others late if they went before them.
  */
-export function placeOrder(claim: PlaceClaim, arrivedMs: number, meanMs: number): number {
-  const targetTimeMs = arrivedMs + claim.targetLeftMs;
-  const slackMs = spareMs(claim, meanMs);
-  if (slackMs <= 0) return lateOrder(claim, arrivedMs);
-  return slackMs > claim.spentMs ? targetTimeMs - claim.spentMs : targetTimeMs + RETRY_ORDER_OFFSET_MS;
+export function queueOrder(limits: RequestTimeLimits, arrivedMs: number, meanMs: number): number {
+  const targetTimeMs = arrivedMs + limits.targetLeftMs;
+  const slackMs = slackTimeMs(limits, meanMs);
+  if (slackMs <= 0) return lateQueueOrder(limits, arrivedMs);
+  return slackMs > limits.spentMs ? targetTimeMs - limits.spentMs : targetTimeMs + RETRY_ORDER_OFFSET_MS;
 }
 
 /**
  * Whether a request should not be started, because the backlog of the network link would make its answer late, and the
- * answer would in turn delay those behind it. `claim` already accounts for the answer's own time on the link.
+ * answer would in turn delay those behind it. `limits` already accounts for the answer's own time on the link.
  */
-export function comesTooLateForLink(claim: PlaceClaim, backlogMs: number, meanMs: number): boolean {
-  return backlogMs > 0 && spareMs(claim, meanMs) <= 0;
+export function wouldMissTargetOnLink(limits: RequestTimeLimits, backlogMs: number, meanMs: number): boolean {
+  return backlogMs > 0 && slackTimeMs(limits, meanMs) <= 0;
 }
 
 /**
@@ -72,7 +72,7 @@
 const LINK_TIME_MARGIN = 1.6;
 
 /** Returns the time in ms to plan for on the network link, given the estimated time. */
-export function linkTimeMs(estimatedMs: number): number {
+export function plannedLinkTimeMs(estimatedMs: number): number {
   return policyIsOn('link-margin') ? estimatedMs * LINK_TIME_MARGIN : estimatedMs;
 }
 
@@ -86,7 +86,7 @@
  * Returns the rank in the queue of a back end; lower ranks go first. Short work goes first, since it delays others
  * little and is mostly calls from other back ends, which hold a slot there until they are answered.
  */
-export function placeRank(priority: number, meanMs: number, longestMs: number): number {
+export function queueRank(priority: number, meanMs: number, longestMs: number): number {
   return meanMs <= longestMs * SHORT_WORK_SHARE ? SHORT_WORK_RANK : priority;
 }
 
@@ -116,12 +116,12 @@
 }
 
 /** Returns the sort key of a late request, which puts it behind all requests that can meet their target. */
-export function lateOrder({ targetLeftMs }: PlaceClaim, arrivedMs: number): number {
+export function lateQueueOrder({ targetLeftMs }: RequestTimeLimits, arrivedMs: number): number {
   return arrivedMs + targetLeftMs + LATE_ORDER_OFFSET_MS;
 }
 
 /** Returns the time in ms for which a late request may still wait and then be answered before its deadline. */
-export function lateWaitMs({ remainingMs }: PlaceClaim, waitedMs: number, meanMs: number): number {
+export function maxLateWaitMs({ remainingMs }: RequestTimeLimits, waitedMs: number, meanMs: number): number {
   return Math.max(0, remainingMs - waitedMs - LATE_WORK_TIME_FACTOR * meanMs);
 }
 
@@ -130,8 +130,8 @@
  * requests late. The wait ends while the mean work would still fit before the deadline, so that a caller without a slot
  * is refused before it times out.
  */
-export function placeWaitMs(claim: PlaceClaim, waitedMs: number, meanMs: number): number {
-  const minWaitMs = Math.max(MIN_SLOT_WAIT_SHARE * meanMs, claim.patienceMs);
-  const maxWaitMs = Math.max(0, claim.remainingMs - waitedMs - meanMs);
-  return Math.min(maxWaitMs, Math.max(minWaitMs, spareMs(claim, meanMs) - waitedMs));
+export function maxSlotWaitMs(limits: RequestTimeLimits, waitedMs: number, meanMs: number): number {
+  const minWaitMs = Math.max(MIN_SLOT_WAIT_SHARE * meanMs, limits.patienceMs);
+  const maxWaitMs = Math.max(0, limits.remainingMs - waitedMs - meanMs);
+  return Math.min(maxWaitMs, Math.max(minWaitMs, slackTimeMs(limits, meanMs) - waitedMs));
 }
--- a/src/sidecar/request-forwarder.ts
+++ b/src/sidecar/request-forwarder.ts
@@ -124,7 +124,7 @@
   start(): void {
     const leftMs = this.clock.leftMs;
     if (leftMs <= 0) {
-      this.giveUpNotRun('the deadline had passed');
+      this.endNotRun('the deadline had passed');
       return;
     }
     const leadMs = Math.min(WITHDRAW_LEAD_MS, leftMs * MAX_WITHDRAW_LEAD_SHARE);
@@ -251,7 +251,7 @@
     this.counters.attempts += 1;
     this.currentInstance = instance;
     this.currentMayRun = true;
-    view.noteSent();
+    view.recordSent();
     const { requestId, method, path, headers, body, key, route, spentMs } = this.request;
     this.lastSentMs = this.ports.runtime.nowMs();
     const head: RequestHead = {
@@ -295,7 +295,7 @@
 
   private answered(view: BackendView, head: AnswerHead, body: Buffer): void {
     this.recordStatus(view, head.status);
-    view.noteSuccess();
+    view.recordSuccess();
     this.timing = head.timing;
     if (this.done) return;
     if (head.moreFollows) {
@@ -332,7 +332,7 @@
     this.lastReason = `refused: ${refusal.reason}`;
     this.lastRetryAfterMs = refusal.retryAfterMs;
     if (refusal.reason === 'busy') this.busyRefusals += 1;
-    if (refusal.reason === 'unreachable') view.noteFailure(this.ports.runtime.nowMs());
+    if (refusal.reason === 'unreachable') view.recordFailure(this.ports.runtime.nowMs());
     this.excluded.add(instance.id);
     this.retryAfterRefusal(refusal);
   }
@@ -357,8 +357,8 @@
     this.quarantineRefusals += 1;
     const mayTryAnother = !attemptsExhausted && this.quarantineRefusals < MAX_QUARANTINE_REFUSALS;
     if (mayTryAnother && this.choose() !== null) this.startAttempt();
-    else if (this.mayHaveRun) this.giveUpUnknown(this.lastReason, false);
-    else this.giveUpQuarantined();
+    else if (this.mayHaveRun) this.endUnknown(this.lastReason, false);
+    else this.endQuarantined();
   }
 
   /** Whether enough sidecars were busy to take the whole service to be full. */
@@ -369,7 +369,7 @@
   private failed(instance: BackendInstance, view: BackendView, failure: FailureHead): void {
     this.recordStatus(view, failure.status);
     this.attemptEnded(view);
-    if (failure.reason !== 'deadline') view.noteFailure(this.ports.runtime.nowMs());
+    if (failure.reason !== 'deadline') view.recordFailure(this.ports.runtime.nowMs());
     this.retryAfterPossibleRun(
       instance,
       `the back end's answer: ${failure.reason}`,
@@ -379,7 +379,7 @@
 
   private lost(instance: BackendInstance, view: BackendView, sent: boolean): void {
     this.attemptEnded(view);
-    view.noteFailure(this.ports.runtime.nowMs());
+    view.recordFailure(this.ports.runtime.nowMs());
     if (sent || this.streaming) {
       this.retryAfterPossibleRun(
         instance,
@@ -406,14 +406,14 @@
     if (this.streaming) {
       this.finish();
       this.log('answer-broken-off', { instance: instance.id, reason });
-      this.sink.breakOff();
+      this.sink.abort();
       return;
     }
     const repeatable = this.request.route.definition.kind !== 'non-idempotent';
     // Repeating a request that is known to end back ends would end the next one.
     const mayRepeat = repeatable && this.ports.mayRepeat(this.request);
     if (timedOut || !mayRepeat || this.withdrawn || !this.takeRepeatAllowance()) {
-      this.giveUpUnknown(reason, timedOut);
+      this.endUnknown(reason, timedOut);
       return;
     }
     this.counters.repeats += 1;
@@ -444,19 +444,19 @@
     if (this.done) return;
     if (this.streaming) {
       this.finish();
-      this.sink.breakOff();
+      this.sink.abort();
       return;
     }
-    if (this.currentMayRun || this.mayHaveRun) this.giveUpUnknown('the time was up', true);
-    else this.giveUpNotRun('the time was up');
+    if (this.currentMayRun || this.mayHaveRun) this.endUnknown('the time was up', true);
+    else this.endNotRun('the time was up');
   }
 
   private endWithoutSlot(): void {
-    if (this.mayHaveRun) this.giveUpUnknown(this.lastReason, false);
-    else this.giveUpNotRun(this.lastReason);
+    if (this.mayHaveRun) this.endUnknown(this.lastReason, false);
+    else this.endNotRun(this.lastReason);
   }
 
-  private giveUpNotRun(reason: string): void {
+  private endNotRun(reason: string): void {
     this.finish();
     this.counters.notRun += 1;
     this.countOutcome(false);
@@ -464,23 +464,23 @@
     const requestedMs = policyIsOn('retry-hints') ? (this.lastRetryAfterMs ?? 0) : 0;
     const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, targetShareMs, requestedMs);
     this.log('request-not-run', { reason, refusals: this.refusals });
-    this.sink.giveUp({ kind: 'not-run', reason, retryAfterMs });
+    this.sink.fail({ kind: 'not-run', reason, retryAfterMs });
   }
 
-  private giveUpQuarantined(): void {
+  private endQuarantined(): void {
     this.finish();
     this.counters.quarantined += 1;
     this.countOutcome(false);
     this.log('request-quarantined', { refusals: this.refusals });
-    this.sink.giveUp({ kind: 'quarantined', reason: QUARANTINE_REASON });
+    this.sink.fail({ kind: 'quarantined', reason: QUARANTINE_REASON });
   }
 
-  private giveUpUnknown(reason: string, timedOut: boolean): void {
+  private endUnknown(reason: string, timedOut: boolean): void {
     this.finish();
     this.counters.unknown += 1;
     this.countOutcome(false);
     this.log('request-unknown', { reason, arrivals: this.arrivals, instance: this.currentInstance?.id });
-    this.sink.giveUp({ kind: 'unknown', reason, timedOut });
+    this.sink.fail({ kind: 'unknown', reason, timedOut });
   }
 
   private complete(): void {
@@ -524,11 +524,11 @@
   private attemptEnded(view: BackendView): void {
     if (this.currentAttempt === null) return;
     this.currentAttempt = null;
-    view.noteEnded();
+    view.recordEnded();
   }
 
   private recordStatus(view: BackendView, status: StatusHead | null): void {
-    if (status !== null) view.noteStatus(status, this.ports.runtime.nowMs());
+    if (status !== null) view.recordStatus(status, this.ports.runtime.nowMs());
   }
 
   private log(event: string, fields: Readonly<Record<string, unknown>>): void {
--- a/src/sidecar/request-intake.ts
+++ b/src/sidecar/request-intake.ts
@@ -1,6 +1,6 @@
 /** Validates a caller's HTTP request and turns it into a request to forward, or into an immediate answer. */
 import type { Runtime } from '../runtime/runtime.js';
-import { ownAnswer, OWN_STATUS, type IncomingRequest, type OwnAnswer } from './caller-server.js';
+import { localAnswer, LOCAL_STATUS, type IncomingRequest, type LocalAnswer } from './caller-server.js';
 import type { DirectoryTable } from './directory-table.js';
 import { endToEndHeaders, headerValue, type HeaderDialect } from './header-dialect.js';
 import type { CallerRequest } from './caller-request.js';
@@ -27,7 +27,7 @@
   constructor(private readonly ports: IntakePorts) {}
 
   /** Returns the request to forward, or the answer to send instead. */
-  prepare(incoming: IncomingRequest): CallerRequest | OwnAnswer {
+  prepare(incoming: IncomingRequest): CallerRequest | LocalAnswer {
     const { runtime, table, dialect } = this.ports;
     if (!table.configured) return retryLaterAnswer('the sidecar has not received a configuration yet');
     const route = table.routes.find(incoming.host, incoming.path);
@@ -36,7 +36,7 @@
     const { headers, method, path, body } = incoming;
     const keyText = headerValue(headers, dialect.key);
     const keyed = table.service(service)?.keyed === true;
-    if (keyed && !isKey(keyText)) return ownAnswer(OWN_STATUS.badRequest, 'the request needs a key');
+    if (keyed && !isKey(keyText)) return localAnswer(LOCAL_STATUS.badRequest, 'the request needs a key');
     const statedDeadlineMs = Number(headerValue(headers, dialect.deadlineMs));
     const hasDeadline = Number.isFinite(statedDeadlineMs) && statedDeadlineMs > 0;
     return {
@@ -55,9 +55,9 @@
   }
 
   /** Returns a final answer only when the table is current: a newer table may contain the missing route. */
-  private noRouteAnswer(): OwnAnswer {
+  private noRouteAnswer(): LocalAnswer {
     if (this.ports.tableIsCurrent())
-      return ownAnswer(OWN_STATUS.noRoute, 'no route matches the host and path');
+      return localAnswer(LOCAL_STATUS.noRoute, 'no route matches the host and path');
     return retryLaterAnswer('the configuration of the sidecar may be outdated');
   }
 
@@ -69,8 +69,8 @@
   }
 }
 
-function retryLaterAnswer(reason: string): OwnAnswer {
-  return { statusCode: OWN_STATUS.notRun, reason, retryAfterMs: UNCONFIGURED_RETRY_AFTER_MS };
+function retryLaterAnswer(reason: string): LocalAnswer {
+  return { statusCode: LOCAL_STATUS.notRun, reason, retryAfterMs: UNCONFIGURED_RETRY_AFTER_MS };
 }
 
 function isKey(text: string | null): boolean {
--- a/src/sidecar/retry-allowance.ts
+++ b/src/sidecar/retry-allowance.ts
@@ -32,7 +32,7 @@
   constructor(private readonly budget: RetryBudget) {}
 
   /** Records a request to the service. */
-  noteRequest(nowMs: number): void {
+  recordRequest(nowMs: number): void {
     this.tick(nowMs).requests += 1;
   }
 
--- a/src/sidecar/route-means.ts
+++ b/src/sidecar/route-means.ts
@@ -7,32 +7,32 @@
 const MAX_ROUTES = 256;
 
 /** Exponentially weighted moving averages by route. */
-export class RouteMeans {
-  private readonly means = new Map<string, number>();
+export class RouteAverages {
+  private readonly averages = new Map<string, number>();
 
   /** Adds the amount that a request of the route needed. */
-  note(route: string, amount: number): void {
-    const mean = this.means.get(route);
-    this.means.set(route, mean === undefined ? amount : mean + (amount - mean) * EWMA_WEIGHT);
-    if (this.means.size <= MAX_ROUTES) return;
-    const first = this.means.keys().next();
-    if (first.done !== true) this.means.delete(first.value);
+  record(route: string, amount: number): void {
+    const average = this.averages.get(route);
+    this.averages.set(route, average === undefined ? amount : average + (amount - average) * EWMA_WEIGHT);
+    if (this.averages.size <= MAX_ROUTES) return;
+    const first = this.averages.keys().next();
+    if (first.done !== true) this.averages.delete(first.value);
   }
 
   /** Largest average of any route; 0 before the first sample. */
   get largest(): number {
     let largest = 0;
-    for (const mean of this.means.values()) largest = Math.max(largest, mean);
+    for (const average of this.averages.values()) largest = Math.max(largest, average);
     return largest;
   }
 
   /** Smallest average of any route; 0 before the first sample. */
   get smallest(): number {
-    return this.means.size === 0 ? 0 : Math.min(...this.means.values());
+    return this.averages.size === 0 ? 0 : Math.min(...this.averages.values());
   }
 
   /** Returns the average of the route; `fallback` before its first sample. */
-  of(route: string, fallback: number): number {
-    return this.means.get(route) ?? fallback;
+  averageOf(route: string, fallback: number): number {
+    return this.averages.get(route) ?? fallback;
   }
 }
--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -19,7 +19,7 @@
 import type { CallerSink } from './caller-request.js';
 import { CallerRequests } from './caller-requests.js';
 import { ColdStartLimit } from './cold-start-limit.js';
-import { OWN_STATUS, type OwnAnswer, type TakenRequest } from './caller-server.js';
+import { LOCAL_STATUS, type LocalAnswer, type RequestHandle } from './caller-server.js';
 import type { IncomingRequest } from './caller-server.js';
 import { CrashWatch } from './crash-watch.js';
 import { DirectoryClient } from './directory-client.js';
@@ -31,7 +31,7 @@
 import type { LocalBackend } from './local-backend.js';
 import { PeerDaemons } from './peer-daemons.js';
 import { RequestIntake } from './request-intake.js';
-import { forwarderCounters } from './forwarder-counters.js';
+import { createForwarderCounters } from './forwarder-counters.js';
 import type { SidecarSettings } from './sidecar-settings.js';
 import {
   socketTransport,
@@ -88,7 +88,7 @@
   readonly backendClient: BackendClient;
   /** Paces large answers; null where the network link is fast. */
   private readonly pacer: LinkPacer | null;
-  readonly counters = forwarderCounters();
+  readonly counters = createForwarderCounters();
   readonly directory: DirectoryClient;
   private readonly settings: SidecarSettings;
   private readonly runtime: Runtime;
@@ -140,7 +140,7 @@
       log,
       dialLink: (route, handlers) => this.transport.dialLink(route, handlers),
       dialFrom: settings.dialFrom,
-      ownLinks: settings.links,
+      ownLinkAddress: settings.links,
       pacer: this.pacer,
       onStatus: (instance) => {
         this.prober.answered(instance);
@@ -170,7 +170,7 @@
     this.callers = this.transport.callers({
       limits: () => this.table.limits,
       closing: () => this.closingConnections,
-      take: (request, sink) => this.takeRequest(request, sink),
+      handle: (request, sink) => this.takeRequest(request, sink),
     });
     this.directory = this.makeDirectory();
     this.timers.push(
@@ -481,16 +481,16 @@
     this.callers.applyLimits();
     this.gateway.reconsider();
     this.requests.tableChanged();
-    this.peers.keepOnly(this.table.instances());
+    this.peers.retainOnly(this.table.instances());
   }
 
   // ---- callers
 
-  private takeRequest(incoming: IncomingRequest, sink: CallerSink): TakenRequest | OwnAnswer {
+  private takeRequest(incoming: IncomingRequest, sink: CallerSink): RequestHandle | LocalAnswer {
     if (this.closingConnections) {
-      return { statusCode: OWN_STATUS.notRun, reason: 'stopping', retryAfterMs: STOPPING_RETRY_MS };
+      return { statusCode: LOCAL_STATUS.notRun, reason: 'stopping', retryAfterMs: STOPPING_RETRY_MS };
     }
-    return this.requests.take(incoming, sink);
+    return this.requests.handle(incoming, sink);
   }
 
   private async waitUntil(untilMs: number, done: () => boolean): Promise<void> {
--- a/src/sidecar/work-forecast.ts
+++ b/src/sidecar/work-forecast.ts
@@ -6,17 +6,17 @@
 import type { LinkPacer } from '../link/link-pacer.js';
 import { policyIsOn } from '../policy-switches.js';
 import { BackendPace, believedPace } from './backend-pace.js';
-import { LinkOutlook } from './link-outlook.js';
+import { LinkWaitEstimator } from './link-outlook.js';
 import {
-  comesTooLateForLink,
+  wouldMissTargetOnLink,
   lateReserve,
-  linkTimeMs,
-  placeRank,
+  plannedLinkTimeMs,
+  queueRank,
   SHORT_WORK_RANK,
   shortWorkReserve,
-  type PlaceClaim,
+  type RequestTimeLimits,
 } from './place-policy.js';
-import { RouteMeans } from './route-means.js';
+import { RouteAverages } from './route-means.js';
 
 /** What a forecast needs of its gateway. */
 export interface WorkForecastPorts {
@@ -45,12 +45,12 @@
   /** Figures that the back end told and that could not be read; they count as not told. */
   unreadableFigures = 0;
   /** At the usual pace. */
-  private readonly times = new RouteMeans();
-  private readonly answerBytes = new RouteMeans();
-  private readonly link: LinkOutlook<Owner>;
+  private readonly times = new RouteAverages();
+  private readonly answerBytes = new RouteAverages();
+  private readonly link: LinkWaitEstimator<Owner>;
 
   constructor(private readonly ports: WorkForecastPorts) {
-    this.link = new LinkOutlook(ports.pacer);
+    this.link = new LinkWaitEstimator(ports.pacer);
   }
 
   /** How long work takes now, as a factor on the usual. */
@@ -65,18 +65,18 @@
 
   /** Time in ms that a request of the route is to be expected to work. */
   workMs(route: string): number {
-    const usualMs = this.times.of(route, NaN);
+    const usualMs = this.times.averageOf(route, NaN);
     return Number.isNaN(usualMs) ? this.ports.serviceMs() : usualMs * this.paceNow;
   }
 
   /** Time in ms that an answer of the route will need on the network link, behind those that wait for it. */
   sendMs(route: string, owner: Owner | null): number {
-    return this.link.sendMs(owner, this.answerBytes.of(route, 0), this.workMs(route));
+    return this.link.sendMs(owner, this.answerBytes.averageOf(route, 0), this.workMs(route));
   }
 
   /** The answer must have passed the network link by the time that its caller tells. */
-  claimOf(head: RequestHead, owner: Owner | null): PlaceClaim {
-    const sendMs = linkTimeMs(this.sendMs(head.route, owner));
+  claimOf(head: RequestHead, owner: Owner | null): RequestTimeLimits {
+    const sendMs = plannedLinkTimeMs(this.sendMs(head.route, owner));
     if (sendMs === 0) return head;
     const { patienceMs, spentMs } = head;
     const remainingMs = head.remainingMs - sendMs;
@@ -86,7 +86,7 @@
   /** Whether the network link, which others wait for, would make a large answer late that is accepted now. */
   isTooLateForLink(head: RequestHead, owner: Owner): boolean {
     const claim = this.claimOf(head, owner);
-    return claim !== head && comesTooLateForLink(claim, this.link.waitMs, this.workMs(head.route));
+    return claim !== head && wouldMissTargetOnLink(claim, this.link.waitMs, this.workMs(head.route));
   }
 
   /** The same of one that was accepted and has waited for its place. */
@@ -95,21 +95,21 @@
     const claim = this.claimOf(head, owner);
     if (claim === head) return false;
     const present = { ...claim, targetLeftMs: claim.targetLeftMs - waitedMs };
-    return comesTooLateForLink(present, this.link.waitMsBeside(owner), this.workMs(head.route));
+    return wouldMissTargetOnLink(present, this.link.waitMsExcluding(owner), this.workMs(head.route));
   }
 
   /** Rank of a request; short work goes first. */
   rankOf({ priority, route }: RequestHead): number {
     if (!policyIsOn('short-work-first')) return priority;
-    const meanMs = this.times.of(route, this.ports.serviceMs());
-    return placeRank(priority, meanMs, this.times.largest);
+    const meanMs = this.times.averageOf(route, this.ports.serviceMs());
+    return queueRank(priority, meanMs, this.times.largest);
   }
 
   /** Places that a request leaves free for short work, where this back end has lately had any. */
   reserveOf(head: RequestHead): number {
     if (!policyIsOn('short-work-reserve') || this.rankOf(head) === SHORT_WORK_RANK) return 0;
     const { smallest, largest } = this.times;
-    const hasShortWork = smallest > 0 && placeRank(head.priority, smallest, largest) === SHORT_WORK_RANK;
+    const hasShortWork = smallest > 0 && queueRank(head.priority, smallest, largest) === SHORT_WORK_RANK;
     return hasShortWork ? shortWorkReserve(this.ports.slots()) : 0;
   }
 
@@ -121,7 +121,7 @@
 
   /** An answer of the route will come from this owner. */
   expectAnswer(route: string, owner: Owner): void {
-    this.link.accept(owner, this.answerBytes.of(route, 0));
+    this.link.accept(owner, this.answerBytes.averageOf(route, 0));
   }
 
   /** The answer is on the link, or will not come. */
@@ -132,8 +132,8 @@
   /** An answer came. */
   learn({ route, usedMs, bytes, pace }: LearnedAnswer): void {
     this.notePace(pace);
-    this.times.note(route, usedMs / this.paceNow);
-    this.answerBytes.note(route, bytes);
+    this.times.record(route, usedMs / this.paceNow);
+    this.answerBytes.record(route, bytes);
   }
 
   private notePace(told: number | null): void {
--- a/test/sidecar/backend-pace.test.ts
+++ b/test/sidecar/backend-pace.test.ts
@@ -57,9 +57,9 @@
     meanPace: 1,
   };
   const slow = new BackendView();
-  slow.noteStatus({ ...status, pace: 3 }, 0);
+  slow.recordStatus({ ...status, pace: 3 }, 0);
   const usual = new BackendView();
-  usual.noteStatus({ ...status, serviceMs: 30, pace: 1 }, 0);
+  usual.recordStatus({ ...status, serviceMs: 30, pace: 1 }, 0);
   t.is(Math.round(slow.expectedMs(4, 0, 20)), 60);
   t.is(Math.round(usual.expectedMs(4, 0, 20)), 20);
   t.true(slow.expectedMs(4, 2_000, 20) < 21, 'slow spells pass');
--- a/test/sidecar/backend-prober.test.ts
+++ b/test/sidecar/backend-prober.test.ts
@@ -56,7 +56,7 @@
       pace: 1,
       meanPace: 1,
     };
-    this.views.get(id)?.noteStatus(status, this.time.nowMs);
+    this.views.get(id)?.recordStatus(status, this.time.nowMs);
     this.prober.answered(id);
   }
 
@@ -159,7 +159,7 @@
   fleet.answer('near-0', 1);
   fleet.answer('near-1', 2);
   t.true(fleet.chooser.hasKnownCapacity(fleet.near()));
-  fleet.views.get('near-0')?.noteSent();
+  fleet.views.get('near-0')?.recordSent();
   t.false(fleet.chooser.hasKnownCapacity(fleet.near()));
   fleet.answer('near-0', 1);
   fleet.time.pass(51);
@@ -169,8 +169,8 @@
 test('a cancelled round does not call back', (t) => {
   const fleet = new Fleet(1, 0);
   let rounds = 0;
-  const giveUp = fleet.prober.probe(fleet.near(), () => (rounds += 1));
-  giveUp();
+  const cancelRound = fleet.prober.probe(fleet.near(), () => (rounds += 1));
+  cancelRound();
   fleet.answer('near-0', 0);
   fleet.time.pass(100);
   t.is(rounds, 0);
@@ -184,7 +184,7 @@
 
 test('back ends that failed are candidates only if there are no others', (t) => {
   const fleet = new Fleet(2, 0);
-  fleet.views.get('near-0')?.noteFailure(fleet.time.nowMs);
+  fleet.views.get('near-0')?.recordFailure(fleet.time.nowMs);
   t.deepEqual(
     fleet.near().map(({ id }) => id),
     ['near-1'],
--- a/test/sidecar/link-outlook.test.ts
+++ b/test/sidecar/link-outlook.test.ts
@@ -1,6 +1,6 @@
 /** Estimated waits for a slow network link. */
 import test from 'ava';
-import { LinkOutlook, type LinkQueue } from '../../src/sidecar/link-outlook.js';
+import { LinkWaitEstimator, type LinkQueue } from '../../src/sidecar/link-outlook.js';
 
 const BYTES = 80_000;
 
@@ -10,7 +10,7 @@
 }
 
 test('expected answers delay a new one, as those on the link do', (t) => {
-  const link = new LinkOutlook<string>(queue(100));
+  const link = new LinkWaitEstimator<string>(queue(100));
   t.is(link.sendMs(null, BYTES, 0), 260);
   link.accept('first', BYTES);
   link.accept('second', BYTES);
@@ -20,14 +20,14 @@
 });
 
 test('the queue ahead of an answer drains during its work', (t) => {
-  const link = new LinkOutlook<string>(queue(100));
+  const link = new LinkWaitEstimator<string>(queue(100));
   link.accept('first', BYTES);
   t.is(link.sendMs(null, BYTES, 200), 220);
   t.is(link.sendMs(null, BYTES, 1_000), 160);
 });
 
 test('an expected answer counts once, until it is removed', (t) => {
-  const link = new LinkOutlook<string>(queue(0));
+  const link = new LinkWaitEstimator<string>(queue(0));
   link.accept('first', BYTES);
   link.accept('first', BYTES);
   t.is(link.waitMs, 160, 'a repeated call replaces the first');
@@ -37,20 +37,20 @@
 });
 
 test('small answers and fast links have no wait', (t) => {
-  const slow = new LinkOutlook<string>(queue(100));
+  const slow = new LinkWaitEstimator<string>(queue(100));
   slow.accept('small', 500);
   t.is(slow.waitMs, 100);
   t.is(slow.sendMs(null, 500, 0), 0);
-  const fast = new LinkOutlook<string>(null);
+  const fast = new LinkWaitEstimator<string>(null);
   fast.accept('large', BYTES);
   t.is(fast.waitMs, 0);
   t.is(fast.sendMs(null, BYTES, 0), 0);
 });
 
 test('the wait can be given without the answer of one owner', (t) => {
-  const link = new LinkOutlook<string>(queue(100));
+  const link = new LinkWaitEstimator<string>(queue(100));
   link.accept('own', BYTES);
   link.accept('other', BYTES);
   t.is(link.waitMs, 420);
-  t.is(link.waitMsBeside('own'), 260);
+  t.is(link.waitMsExcluding('own'), 260);
 });
--- a/test/sidecar/request-forwarder.test.ts
+++ b/test/sidecar/request-forwarder.test.ts
@@ -6,8 +6,8 @@
 import type { BackendChooser, ChoiceRequest } from '../../src/sidecar/backend-chooser.js';
 import type { BackendProber, ProbesDone } from '../../src/sidecar/backend-prober.js';
 import { BackendView } from '../../src/sidecar/backend-view.js';
-import type { GivenUp } from '../../src/sidecar/caller-request.js';
-import { forwarderCounters } from '../../src/sidecar/forwarder-counters.js';
+import type { UnansweredOutcome } from '../../src/sidecar/caller-request.js';
+import { createForwarderCounters } from '../../src/sidecar/forwarder-counters.js';
 import { ForwardedRequest } from '../../src/sidecar/request-forwarder.js';
 import { Route } from '../../src/sidecar/route-table.js';
 import { NO_LATENCIES } from '../../src/telemetry/latencies.js';
@@ -47,7 +47,7 @@
 interface Outcome {
   readonly tried: string[];
   result: string;
-  givenUp: GivenUp | null;
+  unanswered: UnansweredOutcome | null;
   cancelled: number;
   /** Log events written as failures or decisions, and those that are sampled. */
   readonly logged: string[];
@@ -67,7 +67,7 @@
 function forward(reactions: Record<string, Reaction[]>, setup: Setup = {}): Outcome {
   const { kind = 'safe', maxAttempts = 2, mayRepeat = true, passMs = 2_000, spentMs = 0 } = setup;
   const time = new ManualTime();
-  const outcome: Outcome = { tried: [], result: '', givenUp: null, cancelled: 0, logged: [], sampled: [] };
+  const outcome: Outcome = { tried: [], result: '', unanswered: null, cancelled: 0, logged: [], sampled: [] };
   const instances = Object.keys(reactions).map((id): BackendInstance => {
     return {
       id,
@@ -138,10 +138,10 @@
       answer: (head) => (outcome.result = `answer ${head.statusCode}`),
       body: () => undefined,
       end: () => undefined,
-      breakOff: () => (outcome.result = 'broken off'),
-      giveUp: (givenUp) => {
+      abort: () => (outcome.result = 'broken off'),
+      fail: (givenUp) => {
         outcome.result = givenUp.kind;
-        outcome.givenUp = givenUp;
+        outcome.unanswered = givenUp;
       },
     },
     {
@@ -160,7 +160,7 @@
       tableIndex: () => 1,
       latencies: NO_LATENCIES,
     },
-    forwarderCounters(),
+    createForwarderCounters(),
   );
   request.start();
   time.pass(passMs);
@@ -278,13 +278,13 @@
 
 test('at the deadline the attempt is cancelled and the outcome is unknown', (t) => {
   const outcome = forward({ a: [NO_REACTION] });
-  t.like(outcome.givenUp, { kind: 'unknown', timedOut: true });
+  t.like(outcome.unanswered, { kind: 'unknown', timedOut: true });
   t.is(outcome.cancelled, 1);
 });
 
 test('a request still queued shortly before its deadline is withdrawn and reported as not run', (t) => {
   const outcome = forward({ a: [NO_REACTION, refuse('cancelled')] }, { kind: 'non-idempotent' });
-  t.like(outcome.givenUp, { kind: 'not-run' });
+  t.like(outcome.unanswered, { kind: 'not-run' });
   t.deepEqual(outcome.tried, ['a']);
 });
 
@@ -296,7 +296,7 @@
 
 test('a request that was not run ends with a retry-after time', (t) => {
   const outcome = forward({ a: [refuse('busy')] });
-  t.true(outcome.givenUp?.kind === 'not-run' && outcome.givenUp.retryAfterMs > 0);
+  t.true(outcome.unanswered?.kind === 'not-run' && outcome.unanswered.retryAfterMs > 0);
 });
 
 test('without any back end a request searches for part of its target latency and then ends', (t) => {
@@ -316,7 +316,7 @@
       (handlers) => handlers.onRefusal({ reason: 'busy', arrived: false, retryAfterMs: 321, status: null }),
     ],
   });
-  t.like(outcome.givenUp, { kind: 'not-run', retryAfterMs: 321 });
+  t.like(outcome.unanswered, { kind: 'not-run', retryAfterMs: 321 });
 });
 
 test('a retry of a caller searches for a back end as long as the work could still be done', (t) => {
--- a/test/sidecar/retry-allowance.test.ts
+++ b/test/sidecar/retry-allowance.test.ts
@@ -12,7 +12,7 @@
   for (let nowMs = 0; nowMs < 40_000; nowMs += 20) {
     for (const allowance of allowances) {
       if (nowMs % 100 === 0) {
-        allowance.noteRequest(nowMs);
+        allowance.recordRequest(nowMs);
         requests.push(nowMs);
       }
       if (allowance.takeRepeat(nowMs, daemons)) repeats.push(nowMs);
