--- a/src/sidecar/backend-gateway.ts
+++ b/src/sidecar/backend-gateway.ts
@@ -26,7 +26,14 @@
 import { createGatewayCounters, slotTimeUse } from './gateway-counters.js';
 import { headerValue } from './header-dialect.js';
 import { LateWaitLimiter, type LateWaitOutcome } from './late-wait-limiter.js';
-import { isTooLateToBegin, lateOrder, lateWaitMs, placeOrder, placeWaitMs, spareMs } from './place-policy.js';
+import {
+  isTooLateToStart,
+  lateQueueOrder,
+  maxLateWaitMs,
+  queueOrder,
+  maxSlotWaitMs,
+  slackTimeMs,
+} from './place-policy.js';
 import { RunReporter } from './run-reporter.js';
 import { SuspectScheduler, type SuspectRequest } from './suspect-scheduler.js';
 import { WorkForecast } from './work-forecast.js';
@@ -207,10 +214,10 @@
   private maxReadinessWaitMs(head: RequestHead): number {
     const claim = this.forecast.claimOf(head, null);
     const meanMs = this.forecast.workMs(head.route);
-    const inTimeMs = Math.max(head.patienceMs, spareMs(claim, meanMs));
+    const inTimeMs = Math.max(head.patienceMs, slackTimeMs(claim, meanMs));
     // The caller retries after a refused first attempt; a request that is itself a retry loses nothing by waiting.
     const isRetry = head.spentMs > 0 && policyIsOn('key-patience');
-    const waitMs = isRetry ? Math.max(inTimeMs, lateWaitMs(claim, 0, meanMs)) : inTimeMs;
+    const waitMs = isRetry ? Math.max(inTimeMs, maxLateWaitMs(claim, 0, meanMs)) : inTimeMs;
     return Math.min(Math.max(0, head.remainingMs - meanMs), waitMs);
   }
 
@@ -325,9 +332,9 @@
     let waits = false;
     const slotRequest: SlotRequest = {
       priority: forecast.rankOf(head),
-      order: placeOrder(claim, arrivedMs, meanMs),
-      reserve: spareMs(claim, meanMs) > 0 ? forecast.reserveOf(head) : forecast.lateReserveOf(head),
-      expiresMs: nowMs + placeWaitMs(claim, nowMs - arrivedMs, meanMs),
+      order: queueOrder(claim, arrivedMs, meanMs),
+      reserve: slackTimeMs(claim, meanMs) > 0 ? forecast.reserveOf(head) : forecast.lateReserveOf(head),
+      expiresMs: nowMs + maxSlotWaitMs(claim, nowMs - arrivedMs, meanMs),
       start: () => {
         this.start(request);
       },
@@ -349,7 +356,7 @@
     const nowMs = this.ports.runtime.nowMs();
     const { forecast } = this;
     const claim = forecast.claimOf(head, request);
-    const waitMs = lateWaitMs(claim, nowMs - arrivedMs, forecast.workMs(head.route));
+    const waitMs = maxLateWaitMs(claim, nowMs - arrivedMs, forecast.workMs(head.route));
     const missesLink = forecast.isTooLateForLinkAfterWait(head, request, nowMs - arrivedMs);
     const mayBeAnswered = policyIsOn('late-waiting') && !this.stopped && waitMs > 0 && !missesLink;
     if (!mayBeAnswered || !this.lateWaitLimiter.mayWait(waitMs, this.admission.slots, nowMs)) {
@@ -360,7 +367,7 @@
     request.waitsLate = true;
     const slotRequest: SlotRequest = {
       priority: head.priority,
-      order: lateOrder(claim, arrivedMs),
+      order: lateQueueOrder(claim, arrivedMs),
       reserve: forecast.lateReserveOf(head),
       expiresMs: nowMs + waitMs,
       start: () => {
@@ -449,7 +456,7 @@
   private isTooLate(request: GatewayRequest, leftMs: number, waitedMs: number): boolean {
     const { head } = request;
     const workLeftMs = leftMs - this.forecast.sendMs(head.route, request);
-    const tooLate = isTooLateToBegin(workLeftMs, this.forecast.workMs(head.route));
+    const tooLate = isTooLateToStart(workLeftMs, this.forecast.workMs(head.route));
     return tooLate || this.forecast.isTooLateForLinkAfterWait(head, request, waitedMs);
   }
 
