--- a/src/sidecar/backend-gateway.ts
+++ b/src/sidecar/backend-gateway.ts
@@ -33,7 +33,7 @@
   queueOrder,
   maxSlotWaitMs,
   slackTimeMs,
-} from './place-policy.js';
+} from './slot-policy.js';
 import { RunReporter } from './run-reporter.js';
 import { SuspectScheduler, type SuspectRequest } from './suspect-scheduler.js';
 import { WorkForecast } from './work-forecast.js';
--- a/src/sidecar/route-table.ts
+++ b/src/sidecar/route-table.ts
@@ -1,7 +1,7 @@
 /**
  * Finds the route of a request by host and longest path prefix, and distributes its requests over services by weight.
  */
-import { SpentTimeEstimator } from './usual-deadline.js';
+import { SpentTimeEstimator } from './spent-time-estimator.js';
 import type { ConfigurationItem, RouteDefinition } from '../directory/directory-state.js';
 
 /** Answer size in bytes that is assumed before the first answer. */
--- a/src/sidecar/work-forecast.ts
+++ b/src/sidecar/work-forecast.ts
@@ -6,7 +6,7 @@
 import type { LinkPacer } from '../link/link-pacer.js';
 import { policyIsOn } from '../policy-switches.js';
 import { BackendPace, clampPace } from './backend-pace.js';
-import { LinkWaitEstimator } from './link-outlook.js';
+import { LinkWaitEstimator } from './link-wait-estimator.js';
 import {
   wouldMissTargetOnLink,
   lateReserve,
@@ -15,8 +15,8 @@
   SHORT_WORK_RANK,
   shortWorkReserve,
   type RequestTimeLimits,
-} from './place-policy.js';
-import { RouteAverages } from './route-means.js';
+} from './slot-policy.js';
+import { RouteAverages } from './route-averages.js';
 
 /** Dependencies of a forecast. */
 export interface WorkForecastPorts {
--- a/test/sidecar/link-outlook.test.ts
+++ b/test/sidecar/link-wait-estimator.test.ts
@@ -1,6 +1,6 @@
 /** Estimated waits for a slow network link. */
 import test from 'ava';
-import { LinkWaitEstimator, type LinkQueue } from '../../src/sidecar/link-outlook.js';
+import { LinkWaitEstimator, type LinkQueue } from '../../src/sidecar/link-wait-estimator.js';
 
 const BYTES = 80_000;
 
--- a/test/sidecar/place-policy.test.ts
+++ b/test/sidecar/slot-policy.test.ts
@@ -12,7 +12,7 @@
   maxSlotWaitMs,
   slackTimeMs,
   type RequestTimeLimits,
-} from '../../src/sidecar/place-policy.js';
+} from '../../src/sidecar/slot-policy.js';
 
 const MEAN_MS = 100;
 const NOW_MS = 10_000;
--- a/test/sidecar/usual-deadline.test.ts
+++ b/test/sidecar/spent-time-estimator.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { SpentTimeEstimator } from '../../src/sidecar/usual-deadline.js';
+import { SpentTimeEstimator } from '../../src/sidecar/spent-time-estimator.js';
 
 function estimatorAfter(...deadlines: number[]): SpentTimeEstimator {
   const estimator = new SpentTimeEstimator();
