--- a/src/link/link-client.ts
+++ b/src/link/link-client.ts
@@ -1,6 +1,6 @@
 /**
- * The calling side of a link: passes requests to one other daemon and tells what became of each. The connection is
- * opened when the first request comes and opened anew when it broke.
+ * Client side of a link: forwards requests to one peer daemon and reports the outcome of each. The connection is opened
+ * lazily by the first request or probe, and reopened on demand after it was lost.
  */
 import { connect } from 'node:net';
 import { connectOptions, type SocketAddress } from '../model/socket-address.js';
@@ -9,31 +9,31 @@
 import type { LinkPacer } from './link-pacer.js';
 import type { AnswerHead, FailureHead, RefusalHead, RequestHead, StatusHead } from './link-messages.js';
 
-/** Time in ms for a connection to open. */
+/** Time in ms after which an attempt to connect fails. */
 const CONNECT_TIMEOUT_MS = 400;
 
-/** Pause after a failed attempt to connect, in ms, in which requests are refused at once. */
-const REDIAL_PAUSE_MS = 150;
+/** Time in ms after a failed attempt to connect during which the peer counts as unreachable. */
+const RECONNECT_DELAY_MS = 150;
 
-/** What becomes of a request. Exactly one of the final calls is made, unless it was cancelled. */
+/** Callbacks for the outcome of a request. Exactly one of the final ones is called, unless the request is cancelled. */
 export interface RequestHandlers {
-  /** Final: it was not run. */
+  /** Final: the request was not executed. */
   onRefusal(head: RefusalHead): void;
-  /** Final: it may have run. */
+  /** Final: the request may have been executed, and there is no answer. */
   onFailure(head: FailureHead): void;
-  /** The answer begins; final when nothing more follows. */
+  /** Start of the answer; final unless its head says that more of the body follows. */
   onAnswer(head: AnswerHead, body: Buffer): void;
   onBody(chunk: Buffer): void;
-  /** Final: the answer is whole. */
+  /** Final: the answer is complete. */
   onEnd(): void;
-  /** Final: the connection was lost. `sent` is false when the request certainly did not leave. */
+  /** Final: the connection was lost. `sent` is false if the request was certainly not executed and may be sent elsewhere. */
   onLost(sent: boolean): void;
 }
 
-/** What the owner of a client is told. */
+/** Callbacks for events of a link that belong to no request. */
 export interface LinkClientHandlers {
   onStatus(status: StatusHead): void;
-  /** The connection was lost or could not be opened; not called for a link that its owner closes. */
+  /** The connection was lost or could not be opened; not called after `stop`. */
   onDisconnect(reason: string): void;
 }
 
@@ -44,44 +44,44 @@
   sent: boolean;
 }
 
-/** A request that was handed to a link. */
+/** Handle of a request that was passed to a link. */
 export interface LinkRequest {
-  /** Takes the request back; no handler is called any more. */
+  /** Cancels the request; none of its handlers is called any more. */
   cancel(): void;
-  /** Takes the request back if it has not begun; then it is refused. */
+  /** Asks the peer to refuse the request if its execution has not begun; has no effect otherwise. */
   withdraw(): void;
 }
 
-/** Where a link goes, and where it starts. */
+/** Remote and local addresses of a link, and its pacing. */
 export interface LinkRoute {
   readonly address: SocketAddress;
-  /** Local IP address to dial from; null leaves that to the system. */
+  /** Local IP address to bind to; null lets the operating system choose. */
   readonly localAddress: string | null;
-  /** Paces large frames over a slow network link; null where there is none on the way. */
+  /** Paces large frames on a slow network link; null if the path has none. */
   readonly pacer: LinkPacer | null;
 }
 
-/** A link to one other daemon, as the owner of requests uses it. */
+/** Client interface of a link to one peer daemon. */
 export interface Link {
-  /** Whether the last attempt to connect failed a moment ago. */
+  /** Whether the last attempt to connect failed within the reconnect delay. */
   readonly unreachable: boolean;
-  /** Requests whose outcome is awaited. */
+  /** Number of requests without a final outcome. */
   readonly outstanding: number;
-  /** Passes a request on. */
+  /** Sends a request. */
   request(head: RequestHead, body: Buffer, handlers: RequestHandlers): LinkRequest;
-  /** Asks how busy the back end is; the answer is a status. */
+  /** Requests the load of the back end, which arrives as a status. */
   probe(): void;
-  /** Closes for good. */
+  /** Closes the link permanently. */
   stop(): void;
 }
 
-/** A link to one other daemon over TCP. */
+/** A link to one peer daemon over TCP. */
 export class LinkClient implements Link {
   private connection: LinkConnection | null = null;
   private connected = false;
-  private refuseUntilMs = 0;
+  private unreachableUntilMs = 0;
   private nextStream = 1;
-  /** A probe is to be sent as soon as the connection is open. */
+  /** Whether a probe is to be sent as soon as the connection is open. */
   private probePending = false;
   private readonly pending = new Map<number, PendingRequest>();
   private stopped = false;
@@ -92,17 +92,17 @@
     private readonly handlers: LinkClientHandlers,
   ) {}
 
-  /** Whether the last attempt to connect failed a moment ago. */
+  /** Whether the last attempt to connect failed within the reconnect delay. */
   get unreachable(): boolean {
-    return this.nowMs() < this.refuseUntilMs;
+    return this.nowMs() < this.unreachableUntilMs;
   }
 
-  /** Requests whose outcome is awaited. */
+  /** Number of requests without a final outcome. */
   get outstanding(): number {
     return this.pending.size;
   }
 
-  /** Passes a request on. */
+  /** Sends a request, as soon as the connection is open. */
   request(head: RequestHead, body: Buffer, handlers: RequestHandlers): LinkRequest {
     const stream = this.nextStream;
     this.nextStream += 1;
@@ -121,14 +121,14 @@
     };
   }
 
-  /** Asks how busy the back end is; the answer is a status. Lost without a word when the connection breaks. */
+  /** Requests the load of the back end, which arrives as a status. A probe is dropped silently if the connection breaks. */
   probe(): void {
     this.ensureConnection();
     if (this.connected) this.connection?.send(FRAME_KIND.probe, 0, undefined);
     else this.probePending = true;
   }
 
-  /** Closes for good. */
+  /** Closes the link permanently. */
   stop(): void {
     this.stopped = true;
     this.connection?.close('link is closed');
@@ -147,28 +147,28 @@
     const socket = connect(connectOptions(this.route.address, this.route.localAddress));
     const handlers: LinkConnectionHandlers = {
       onFrame: (frame) => {
-        this.receive(frame);
+        this.handleFrame(frame);
       },
       onClose: (reason) => {
-        clearTimeout(timer);
-        this.lost(reason);
+        clearTimeout(connectTimer);
+        this.handleClose(reason);
       },
     };
     const connection = new LinkConnection(socket, this.nowMs, handlers, this.route.pacer);
-    const timer = setTimeout(() => {
+    const connectTimer = setTimeout(() => {
       connection.close('connect timed out');
     }, CONNECT_TIMEOUT_MS);
     this.connection = connection;
     this.connected = false;
     socket.once('connect', () => {
-      clearTimeout(timer);
-      this.opened();
+      clearTimeout(connectTimer);
+      this.handleConnect();
     });
   }
 
-  private opened(): void {
+  private handleConnect(): void {
     this.connected = true;
-    this.refuseUntilMs = 0;
+    this.unreachableUntilMs = 0;
     if (this.probePending) this.connection?.send(FRAME_KIND.probe, 0, undefined);
     this.probePending = false;
     for (const [stream, pending] of this.pending) this.sendRequest(stream, pending);
@@ -185,19 +185,19 @@
     if (this.connected) this.connection?.watchSilence(this.pending.size > 0);
   }
 
-  private lost(reason: string): void {
-    if (!this.connected) this.refuseUntilMs = this.nowMs() + REDIAL_PAUSE_MS;
-    const ranNothing = this.connection?.peerSaidGoodbye === true;
+  private handleClose(reason: string): void {
+    if (!this.connected) this.unreachableUntilMs = this.nowMs() + RECONNECT_DELAY_MS;
+    const noneExecuted = this.connection?.receivedGoodbye === true;
     this.connection = null;
     this.connected = false;
     this.probePending = false;
-    const lost = [...this.pending.values()];
+    const lostRequests = [...this.pending.values()];
     this.pending.clear();
     if (!this.stopped) this.handlers.onDisconnect(reason);
-    for (const pending of lost) pending.handlers.onLost(pending.sent && !ranNothing);
+    for (const pending of lostRequests) pending.handlers.onLost(pending.sent && !noneExecuted);
   }
 
-  private receive(frame: LinkFrame): void {
+  private handleFrame(frame: LinkFrame): void {
     if (frame.kind === FRAME_KIND.status) {
       this.handlers.onStatus(frame.head as StatusHead);
       return;
--- a/src/link/link-connection.ts
+++ b/src/link/link-connection.ts
@@ -1,4 +1,4 @@
-/** One TCP connection that carries link frames both ways and notices when its peer falls silent. */
+/** A TCP connection that carries link frames in both directions and is closed when its peer stops responding. */
 import type { Socket } from 'node:net';
 import { SilenceWatch, type SilenceTiming } from '../transport/silence-watch.js';
 import type { LinkPacer } from './link-pacer.js';
@@ -11,36 +11,39 @@
   type LinkFrame,
 } from './link-frame.js';
 
-/** While an answer is awaited: silence of 0.8 s costs a request most of its time, and stalls of a busy daemon are shorter. */
-const AWAITING: SilenceTiming = { askEveryMs: 250, limitMs: 800 };
+/**
+ * Liveness timing while requests are in flight: 0.8 s of silence uses up most of the time of a request, and stalls of a
+ * busy daemon are shorter.
+ */
+const ACTIVE_TIMING: SilenceTiming = { askEveryMs: 250, limitMs: 800 };
 
-/** While nothing is awaited: the connection must be known to work, or be gone, within 4 s. */
-const IDLE: SilenceTiming = { askEveryMs: 2_000, limitMs: 1_900 };
+/** Liveness timing while no request is in flight: a dead connection is detected and closed within 4 s. */
+const IDLE_TIMING: SilenceTiming = { askEveryMs: 2_000, limitMs: 1_900 };
 
-const NO_BODY = Buffer.alloc(0);
+const EMPTY_BODY = Buffer.alloc(0);
 
-/** What the owner of a connection is told. */
+/** Callbacks for events of a connection. */
 export interface LinkConnectionHandlers {
   onFrame(frame: LinkFrame): void;
   /** Called once. */
   onClose(reason: string): void;
 }
 
-/** A connection between two daemons. */
+/** A connection between two daemons, used by both sides. */
 export class LinkConnection {
   private readonly decoder = new LinkFrameDecoder();
   private closed = false;
-  private drainWaiters: (() => void)[] = [];
-  /** The peer has said that it ran nothing of what it has not answered. */
-  private peerLeft = false;
+  private drainCallbacks: (() => void)[] = [];
+  /** Whether a goodbye frame was received. */
+  private goodbyeReceived = false;
   private readonly silence: SilenceWatch;
-  private readonly paced: PacedFrames | null;
+  private readonly pacedFrames: PacedFrames | null;
 
   constructor(
     private readonly socket: Socket,
     nowMs: () => number,
     private readonly handlers: LinkConnectionHandlers,
-    /** Paces large frames over a slow network link; null where there is none between the two daemons. */
+    /** Paces large frames on a slow network link; null if there is none between the two daemons. */
     private readonly pacer: LinkPacer | null = null,
   ) {
     this.silence = new SilenceWatch({
@@ -55,7 +58,7 @@
     const write = (bytes: Buffer): void => {
       socket.write(bytes);
     };
-    this.paced = pacer === null ? null : new PacedFrames(pacer, write);
+    this.pacedFrames = pacer === null ? null : new PacedFrames(pacer, write);
     socket.setNoDelay(true);
     socket.on('data', (chunk: Buffer) => {
       this.receive(chunk);
@@ -68,9 +71,9 @@
     });
   }
 
-  /** Whether the peer has run nothing of what it has not answered, and never will. */
-  get peerSaidGoodbye(): boolean {
-    return this.peerLeft;
+  /** Whether the peer sent a goodbye: it has not executed, and never will, any request that it has not answered. */
+  get receivedGoodbye(): boolean {
+    return this.goodbyeReceived;
   }
 
   /** Whether frames can still be sent. */
@@ -78,17 +81,17 @@
     return !this.closed;
   }
 
-  /** Bytes that wait to be sent. */
-  get waitingBytes(): number {
+  /** Bytes that are buffered by the socket. */
+  get bufferedBytes(): number {
     return this.socket.writableLength;
   }
 
   /** Queues one frame; dropped when the connection is closed. */
-  send(kind: FrameKind, stream: number, head: unknown, body: Buffer = NO_BODY): void {
+  send(kind: FrameKind, stream: number, head: unknown, body: Buffer = EMPTY_BODY): void {
     if (this.closed) return;
     const start = encodeFrameStart(kind, stream, head, body.length);
-    if (this.paced !== null) {
-      this.paced.send(stream, start, body);
+    if (this.pacedFrames !== null) {
+      this.pacedFrames.send(stream, start, body);
       return;
     }
     if (body.length === 0) {
@@ -101,29 +104,29 @@
     this.socket.uncork();
   }
 
-  /** What waits to be sent for a stream is not wanted any more. */
+  /** Discards the queued frames of a stream. */
   dropStream(stream: number): void {
-    this.paced?.drop(stream);
+    this.pacedFrames?.drop(stream);
   }
 
-  /** Calls back when everything that was queued has been handed to the system. */
+  /** Calls back once, when the socket's buffer has been flushed to the operating system. */
   onDrain(callback: () => void): void {
-    this.drainWaiters.push(callback);
-    if (this.drainWaiters.length > 1) return;
+    this.drainCallbacks.push(callback);
+    if (this.drainCallbacks.length > 1) return;
     this.socket.once('drain', () => {
-      for (const waiter of this.drainWaiters.splice(0)) waiter();
+      for (const waitingCallback of this.drainCallbacks.splice(0)) waitingCallback();
     });
   }
 
-  /** Watches for silence, closely while something is awaited from the peer. */
-  watchSilence(awaiting: boolean): void {
-    if (!this.closed) this.silence.watch(awaiting ? AWAITING : IDLE);
+  /** Monitors the peer's liveness, at shorter intervals while requests are in flight. */
+  watchSilence(hasRequestsInFlight: boolean): void {
+    if (!this.closed) this.silence.watch(hasRequestsInFlight ? ACTIVE_TIMING : IDLE_TIMING);
   }
 
-  /** Sends what is queued and a last frame, takes nothing more, and ends the connection. */
-  sayGoodbye(): void {
+  /** Sends the queued frames and a goodbye, ignores further input, and ends the connection. */
+  closeGracefully(): void {
     if (this.closed) return;
-    this.paced?.flush();
+    this.pacedFrames?.flush();
     this.socket.write(encodeFrameStart(FRAME_KIND.goodbye, 0, undefined, 0));
     this.closed = true;
     this.silence.stop();
@@ -131,12 +134,12 @@
     this.handlers.onClose('goodbye');
   }
 
-  /** Closes at once and reports `reason`; later calls do nothing. */
+  /** Closes the connection immediately and reports `reason`; has no effect if it is closed already. */
   close(reason: string): void {
     if (this.closed) return;
     this.closed = true;
     this.silence.stop();
-    this.paced?.dropAll();
+    this.pacedFrames?.discardAll();
     this.socket.destroy();
     this.handlers.onClose(reason);
   }
@@ -144,17 +147,17 @@
   private receive(chunk: Buffer): void {
     if (this.closed) return;
     this.silence.heard();
-    this.pacer?.noteReceived(chunk.length);
+    this.pacer?.recordReceive(chunk.length);
     const frames = this.decoder.push(chunk);
     if (frames.err) {
       this.close(frames.val);
       return;
     }
-    for (const frame of frames.val) this.take(frame);
+    for (const frame of frames.val) this.dispatch(frame);
   }
 
-  private take(frame: LinkFrame): void {
-    if (frame.kind === FRAME_KIND.goodbye) this.peerLeft = true;
+  private dispatch(frame: LinkFrame): void {
+    if (frame.kind === FRAME_KIND.goodbye) this.goodbyeReceived = true;
     else if (frame.kind === FRAME_KIND.ping) this.send(FRAME_KIND.pong, 0, undefined);
     else if (frame.kind !== FRAME_KIND.pong) this.handlers.onFrame(frame);
   }
--- a/src/link/link-messages.ts
+++ b/src/link/link-messages.ts
@@ -1,128 +1,128 @@
-/** Heads of the frames between daemons. */
+/** Heads of the link frames that daemons exchange. */
 
-/** First frame of the accepting side: who it is. A daemon that was started anew has another `life`. */
+/** First frame of the accepting side, which identifies its incarnation: `life` changes with each restart of the daemon. */
 export interface HelloHead {
   readonly life: string;
 }
 
-/** A request that is passed on; its body follows the head. */
+/** A forwarded request; its body follows the head. */
 export interface RequestHead {
   readonly requestId: string;
   readonly method: string;
   /** Path and query. */
   readonly path: string;
-  /** Names and values in turn, without those that concern one connection only. */
+  /** Alternating header names and values, without hop-by-hop headers. */
   readonly headers: readonly string[];
-  /** Back end that is to run it. */
+  /** Id of the back-end instance that is to execute the request. */
   readonly instance: string;
-  /** Key of the request, or null. */
+  /** Key of the request; null if it has none. */
   readonly key: number | null;
-  /** Name of its route; requests of one route take about the same time. */
+  /** Name of the route; requests of one route are expected to take similar time. */
   readonly route: string;
-  /** Rank; 0 is the most urgent. */
+  /** Priority; 0 is the most urgent. */
   readonly priority: number;
-  /** Whether it may run more than once. */
+  /** Whether the request may be executed more than once. */
   readonly repeatable: boolean;
-  /** Time left for the whole request, in ms. */
+  /** Time in ms until the deadline of the request. */
   readonly remainingMs: number;
-  /** Time for which the request may wait for a place whatever it costs its caller, in ms. */
+  /** Time in ms for which the request may wait for a slot regardless of the delay to its caller. */
   readonly patienceMs: number;
-  /** Time left until an answer loses its full value, in ms, counted from this try of its caller. */
+  /** Time in ms within which an answer has its full value, counted from the caller's current attempt. */
   readonly targetLeftMs: number;
-  /** Time in ms that its caller has spent on earlier tries. */
+  /** Time in ms that the caller has spent on earlier attempts. */
   readonly spentMs: number;
 }
 
-/** Why a request was not run. */
+/** Reason why a request was not executed. */
 export type RefusalReason =
-  /** No place came free in time, or none would. */
+  /** No slot became free in time, or none is expected to. */
   | 'busy'
-  /** The back end is leaving, or the daemon is stopping. */
+  /** The back end is draining, or the daemon is stopping. */
   | 'leaving'
-  /** The daemon has another back end beside it, or none yet. */
+  /** The daemon serves a different back-end instance, or none yet. */
   | 'unknown-instance'
   /** The back end does not own the key. */
   | 'not-owner'
   /** The back end cannot be reached. */
   | 'unreachable'
-  /** The caller took the request back before it was sent. */
+  /** The caller withdrew the request before it was sent to the back end. */
   | 'cancelled'
-  /** The back end itself says that it did not run the request. */
+  /** The back end answered that it did not execute the request. */
   | 'declined'
-  /** It has ended the back ends that ran it. */
+  /** Back ends that executed the request have crashed. */
   | 'quarantined';
 
-/** How soon a cold back end takes further requests, in ms. */
+/** Admission rate of a back end that is warming up; times in ms. */
 export interface ColdStartOutlook {
-  /** Until the next request may be sent. */
+  /** Time until the next request may be sent. */
   readonly delayMs: number;
-  /** Between requests. */
+  /** Interval between further requests. */
   readonly intervalMs: number;
-  /** For which it is still cold, as far as is known. */
+  /** Estimated time until the back end has warmed up. */
   readonly leftMs: number;
 }
 
-/** How busy a back end is, as its daemon sees it. */
+/** Load of a back end, as measured by its daemon. */
 export interface StatusHead {
   readonly instance: string;
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
-  /** Recent time that a request took at the back end, in ms. */
+  /** Recent service time of a request at the back end, in ms. */
   readonly serviceMs: number;
   readonly accepting: boolean;
-  /** Time in ms that a large answer waits there for the network link. */
+  /** Time in ms that a large answer waits at the daemon for the network link. */
   readonly sendWaitMs: number;
-  /** Null while it may be sent as many requests as it has places. */
+  /** Null while as many requests may be sent to the back end as it has slots. */
   readonly coldStart: ColdStartOutlook | null;
-  /** How long work takes there at this moment, and in the mean, as factors on the usual; 1 where it is not told. */
+  /** Current and mean service time as a multiple of the normal one; 1 if the back end does not report it. */
   readonly pace: number;
   readonly meanPace: number;
 }
 
-/** The request was not run and never will be. */
+/** The request was not executed and never will be. */
 export interface RefusalHead {
   readonly reason: RefusalReason;
-  /** Whether the request reached the back end, which declined it. */
+  /** Whether the request reached the back end and was declined there. */
   readonly arrived: boolean;
   readonly retryAfterMs: number;
   readonly status: StatusHead | null;
 }
 
-/** Why there is no answer to a request that may have run. */
+/** Reason why a request that may have been executed has no answer. */
 export type FailureReason =
-  /** The connection to the back end broke before the answer was whole. */
+  /** The connection to the back end broke before the answer was complete. */
   | 'broken'
-  /** What came back is no answer to this request. */
+  /** The back end sent no valid answer to the request. */
   | 'garbled'
-  /** The time was up. */
+  /** The deadline passed. */
   | 'deadline';
 
-/** The request may have run, and there is no answer. */
+/** The request may have been executed, and there is no answer. */
 export interface FailureHead {
   readonly reason: FailureReason;
   readonly detail: string;
   readonly status: StatusHead | null;
 }
 
-/** How the daemon beside the back end spent its time on a request, in ms. */
+/** Times of a request at the daemon beside the back end, in ms. */
 export interface AnswerTiming {
-  /** Until the request was sent to the back end. */
+  /** Time until the request was sent to the back end. */
   readonly waitedMs: number;
-  /** From then on until the answer began to be passed on. */
+  /** Time from then until forwarding of the answer began. */
   readonly backendMs: number;
 }
 
-/** The beginning of an answer. */
+/** Start of an answer. */
 export interface AnswerHead {
   readonly statusCode: number;
-  /** Names and values in turn. */
+  /** Alternating header names and values. */
   readonly headers: readonly string[];
   /** Whether `body` and `end` frames follow. */
   readonly moreFollows: boolean;
-  /** Length of the whole body in bytes; null when it is not known yet. */
+  /** Length of the whole body in bytes; null if unknown. */
   readonly contentLength: number | null;
-  /** Whether the back end said where its answer ends; otherwise it is passed on to end with its connection too. */
+  /** Whether the back end delimited the body; if not, the caller's connection is also closed to mark the end of the body. */
   readonly framed: boolean;
   readonly timing: AnswerTiming;
   readonly status: StatusHead | null;
--- a/src/link/link-server.ts
+++ b/src/link/link-server.ts
@@ -1,4 +1,4 @@
-/** The called side of links: accepts connections of other daemons and hands their requests to an owner. */
+/** Server side of links: accepts connections of peer daemons and passes their requests to a handler. */
 import { createServer, type Server, type Socket } from 'node:net';
 import type { SocketAddress } from '../model/socket-address.js';
 import { Err, Ok, type Result } from '../result.js';
@@ -7,33 +7,33 @@
 import { FRAME_KIND, type LinkFrame } from './link-frame.js';
 import type { AnswerHead, FailureHead, RefusalHead, RequestHead, StatusHead } from './link-messages.js';
 
-/** Bytes of one connection that may wait to be sent before the answers on it are held back. */
-const MAX_WAITING_BYTES = 1024 * 1024;
+/** Buffered bytes of a connection from which on backpressure is applied to the answers on it. */
+const MAX_BUFFERED_BYTES = 1024 * 1024;
 
-/** Where the owner of a request says what became of it. */
+/** Sends the outcome of one request to its caller. */
 export interface RequestReply {
   refuse(head: RefusalHead): void;
   fail(head: FailureHead): void;
   answer(head: AnswerHead, body: Buffer): void;
-  /** Sends more of the body; false when the caller should be waited for with `onRoom`. */
+  /** Sends a further part of the body; false if sending should pause until `onRoom` calls back. */
   body(chunk: Buffer): boolean;
   end(): void;
-  /** Calls back when more of the body may be sent. */
+  /** Calls back once, when more of the body may be sent. */
   onRoom(callback: () => void): void;
 }
 
-/** A request as its owner keeps it. */
+/** Handle by which the server cancels a request. */
 export interface AcceptedRequest {
-  /** The caller has gone or has given up. */
+  /** Called when the caller has disconnected or given up. */
   cancel(): void;
-  /** The request is not wanted any more; it is refused if it has not begun. */
+  /** Called when the caller withdraws the request, which is then refused if its execution has not begun. */
   withdraw(): void;
 }
 
-/** Takes a request; returns how it is cancelled. */
+/** Handler of received requests; returns the handle by which the request is cancelled. */
 export type TakeRequest = (head: RequestHead, body: Buffer, reply: RequestReply) => AcceptedRequest;
 
-/** A listener for links. */
+/** TCP server for the links of peer daemons. */
 export class LinkServer {
   private readonly connections = new Set<LinkConnection>();
   private readonly server: Server;
@@ -42,9 +42,9 @@
     private readonly nowMs: () => number,
     private readonly life: string,
     private readonly takeRequest: TakeRequest,
-    /** How busy the back end is, for probes; null while nothing is known of it. */
+    /** Returns the load of the back end, for probes; null while it is unknown. */
     private readonly status: () => StatusHead | null,
-    /** Paces answers over a slow network link; null where it is fast. */
+    /** Paces answers on a slow network link; null if the link is fast. */
     private readonly pacer: LinkPacer | null = null,
   ) {
     this.server = createServer((socket) => {
@@ -52,7 +52,7 @@
     });
   }
 
-  /** Starts listening; the error names the address. */
+  /** Starts listening; an error contains the address. */
   async listen(address: SocketAddress): Promise<Result<void, string>> {
     return await new Promise((resolve) => {
       this.server.once('error', (error) => {
@@ -65,19 +65,20 @@
   }
 
   /**
-   * Stops listening and ends every connection. Nothing runs any more, so callers' daemons are told that what has no
-   * answer was not run: they may send it elsewhere, also what must not run twice.
+   * Stops listening and ends every connection with a goodbye. To be called only when no request is being executed any
+   * more: the goodbye tells peers that requests without an answer were not executed, so that they send them elsewhere,
+   * including those that must not be executed twice.
    */
   close(): void {
     this.server.close();
-    for (const connection of this.connections) connection.sayGoodbye();
+    for (const connection of this.connections) connection.closeGracefully();
   }
 
   private accept(socket: Socket): void {
     const requests = new Map<number, AcceptedRequest>();
     const handlers: LinkConnectionHandlers = {
       onFrame: (frame) => {
-        this.receive(frame, connection, requests);
+        this.handleFrame(frame, connection, requests);
       },
       onClose: () => {
         this.connections.delete(connection);
@@ -85,23 +86,23 @@
         requests.clear();
       },
     };
-    // What stays on this machine does not pass the network link.
+    // Connections within the machine do not use the network link.
     const pacer = socket.remoteAddress === socket.localAddress ? null : this.pacer;
     const connection: LinkConnection = new LinkConnection(socket, this.nowMs, handlers, pacer);
     this.connections.add(connection);
     connection.send(FRAME_KIND.hello, 0, { life: this.life });
   }
 
-  private receive(
+  private handleFrame(
     frame: LinkFrame,
     connection: LinkConnection,
     requests: Map<number, AcceptedRequest>,
   ): void {
     if (frame.kind === FRAME_KIND.request) {
-      const forget = (): void => {
+      const removeRequest = (): void => {
         requests.delete(frame.stream);
       };
-      const reply = makeReply(connection, frame.stream, forget);
+      const reply = makeReply(connection, frame.stream, removeRequest);
       const accepted = this.takeRequest(frame.head as RequestHead, frame.body, reply.port);
       if (!reply.finished()) requests.set(frame.stream, accepted);
       return;
@@ -122,12 +123,12 @@
 function makeReply(
   connection: LinkConnection,
   stream: number,
-  forget: () => void,
+  removeRequest: () => void,
 ): { readonly port: RequestReply; readonly finished: () => boolean } {
   let finished = false;
   const finish = (): void => {
     finished = true;
-    forget();
+    removeRequest();
   };
   const port: RequestReply = {
     refuse(head) {
@@ -144,7 +145,7 @@
     },
     body(chunk) {
       connection.send(FRAME_KIND.body, stream, undefined, chunk);
-      return connection.waitingBytes < MAX_WAITING_BYTES;
+      return connection.bufferedBytes < MAX_BUFFERED_BYTES;
     },
     end() {
       finish();
--- a/src/link/paced-frames.ts
+++ b/src/link/paced-frames.ts
@@ -1,49 +1,50 @@
 /**
- * The outgoing frames of one connection over a paced link. A large frame is written in slices; frames of its stream
- * follow it, small frames of other streams go before it as long as it has not begun.
+ * Send queue of one connection over a paced link. Large frames are written in slices by the pacer. Later frames of the
+ * same stream are queued behind them to keep their order; small frames of other streams overtake a large frame unless
+ * its writing has begun.
  */
 import type { LinkPacer, PacedFrame } from './link-pacer.js';
 import { PACED_FRAME_BYTES } from './link-pacer.js';
 
-/** A frame that waits. */
+/** A frame in the send queue. */
 interface WaitingFrame extends PacedFrame {
   readonly stream: number;
   drop(): void;
-  /** Whether the pacer knows of it; it does not while an earlier frame of the stream waits. */
+  /** Whether the frame was passed to the pacer, which happens once no earlier frame of its stream is queued. */
   submitted: boolean;
 }
 
-/** Outgoing frames of one connection. */
+/** Send queue of one connection. */
 export class PacedFrames {
-  /** Large frames, and frames of their streams behind them, in order. */
+  /** Large frames, and later frames of their streams, in order of arrival. */
   private waiting: WaitingFrame[] = [];
-  /** Small frames that came while a large one was being written. */
-  private readonly behindCurrent: Buffer[] = [];
+  /** Small frames that were sent while a large one was being written; written right after it. */
+  private readonly deferredSmallFrames: Buffer[] = [];
 
   constructor(
     private readonly pacer: LinkPacer,
     private readonly writeNow: (bytes: Buffer) => void,
   ) {}
 
-  /** Queues or writes a frame. */
+  /** Writes a small frame, or queues it if it must not be written yet; queues a large frame. */
   send(stream: number, start: Buffer, body: Buffer): void {
     const bytes = start.length + body.length;
-    const follows = this.waiting.some((frame) => frame.stream === stream);
-    if (bytes >= PACED_FRAME_BYTES || follows) {
+    const streamIsQueued = this.waiting.some((frame) => frame.stream === stream);
+    if (bytes >= PACED_FRAME_BYTES || streamIsQueued) {
       this.queue(stream, body.length === 0 ? start : Buffer.concat([start, body]));
       return;
     }
-    if (this.waiting.some(({ begun }) => begun)) this.behindCurrent.push(start, body);
+    if (this.waiting.some(({ begun }) => begun)) this.deferredSmallFrames.push(start, body);
     else this.writeSmall(start, body);
   }
 
-  /** Frames of a stream are not wanted any more; one that has begun is still finished. */
+  /** Discards the queued frames of a stream, except one whose writing has begun: a frame cannot be cut off. */
   drop(stream: number): void {
     for (const frame of this.waiting) if (frame.stream === stream && !frame.begun) frame.drop();
-    this.advance();
+    this.submitNext();
   }
 
-  /** Writes everything that waits at once, however long the link takes for it. */
+  /** Writes all queued frames immediately, without pacing. */
   flush(): void {
     while (this.waiting.length > 0) {
       const next = this.waiting.find(({ begun }) => begun) ?? this.waiting[0];
@@ -52,51 +53,51 @@
     }
   }
 
-  /** Nothing can be sent any more. */
-  dropAll(): void {
+  /** Discards all queued frames, also one whose writing has begun, because the connection is closed. */
+  discardAll(): void {
     for (const frame of this.waiting) frame.drop();
     this.waiting = [];
-    this.behindCurrent.length = 0;
+    this.deferredSmallFrames.length = 0;
   }
 
   private queue(stream: number, bytes: Buffer): void {
-    let at = 0;
+    let offset = 0;
     let dropped = false;
     const frame: WaitingFrame = {
       stream,
       connection: this,
       submitted: false,
       get remainingBytes() {
-        return bytes.length - at;
+        return bytes.length - offset;
       },
       get dropped() {
         return dropped;
       },
       get begun() {
-        return at > 0;
+        return offset > 0;
       },
       drop: () => {
         dropped = true;
       },
-      write: (most) => {
-        const slice = bytes.subarray(at, at + most);
-        at += slice.length;
+      write: (maxBytes) => {
+        const slice = bytes.subarray(offset, offset + maxBytes);
+        offset += slice.length;
         this.writeNow(slice);
-        if (at === bytes.length) this.finished();
+        if (offset === bytes.length) this.handleFrameWritten();
         return slice.length;
       },
     };
     this.waiting.push(frame);
-    this.advance();
+    this.submitNext();
   }
 
-  private finished(): void {
-    for (const bytes of this.behindCurrent.splice(0)) this.writeSmall(bytes);
-    this.advance();
+  private handleFrameWritten(): void {
+    for (const bytes of this.deferredSmallFrames.splice(0)) this.writeSmall(bytes);
+    this.submitNext();
   }
 
-  /** Forgets what is done, and hands the first frame of each stream to the pacer. */
-  private advance(): void {
+  /** Removes completed and discarded frames, and passes the first queued frame of each stream to the pacer. */
+  private submitNext(): void {
     this.waiting = this.waiting.filter((frame) => !frame.dropped && frame.remainingBytes > 0);
     const streams = new Set<number>();
     for (const frame of this.waiting) {
@@ -111,7 +112,7 @@
   private writeSmall(...parts: readonly Buffer[]): void {
     for (const bytes of parts) {
       if (bytes.length === 0) continue;
-      this.pacer.noteSent(bytes.length);
+      this.pacer.recordUnpacedSend(bytes.length);
       this.writeNow(bytes);
     }
   }
--- a/test/link/link-connection.test.ts
+++ b/test/link/link-connection.test.ts
@@ -1,9 +1,9 @@
-/** One connection of a link. */
+/** Backpressure on one link connection. */
 import { Socket } from 'node:net';
 import test from 'ava';
 import { LinkConnection } from '../../src/link/link-connection.js';
 
-test('many answers that wait for one connection to drain take one listener', (t) => {
+test('answers that wait for one connection to drain share one socket listener', (t) => {
   const socket = new Socket();
   const connection = new LinkConnection(socket, () => 0, {
     onFrame: () => undefined,
@@ -19,5 +19,5 @@
   t.is(socket.listenerCount('drain'), before + 1);
   socket.emit('drain');
   t.is(drained, 20);
-  connection.close('the test is over');
+  connection.close('test finished');
 });
--- a/test/link/link.test.ts
+++ b/test/link/link.test.ts
@@ -1,4 +1,4 @@
-/** Links between daemons, over loopback. */
+/** Client and server of a link over loopback, and the frame decoder. */
 import test from 'ava';
 import { freePort } from '../loopback.js';
 import { LinkClient, type RequestHandlers } from '../../src/link/link-client.js';
@@ -35,8 +35,8 @@
   meanPace: 1,
 };
 
-async function linkTo(
-  take: TakeRequest,
+async function startLink(
+  acceptRequest: TakeRequest,
   onStatus: (status: StatusHead) => void = () => undefined,
   onDisconnect: (reason: string) => void = () => undefined,
 ): Promise<{ client: LinkClient; close: () => void }> {
@@ -44,7 +44,7 @@
   const server = new LinkServer(
     () => 0,
     'life',
-    take,
+    acceptRequest,
     () => STATUS,
   );
   (await server.listen({ host: '127.0.0.1', port })).unwrap();
@@ -63,45 +63,45 @@
   };
 }
 
-function recorder(done: (line: string) => void): RequestHandlers {
+function recordingHandlers(record: (line: string) => void): RequestHandlers {
   return {
     onRefusal: ({ reason }) => {
-      done(`refused ${reason}`);
+      record(`refused ${reason}`);
     },
     onFailure: ({ reason }) => {
-      done(`failed ${reason}`);
+      record(`failed ${reason}`);
     },
     onAnswer: (head, body) => {
-      done(`answer ${head.statusCode} ${body.toString()} ${String(head.moreFollows)}`);
+      record(`answer ${head.statusCode} ${body.toString()} ${String(head.moreFollows)}`);
     },
     onBody: (chunk) => {
-      done(`body ${chunk.toString()}`);
+      record(`body ${chunk.toString()}`);
     },
     onEnd: () => {
-      done('end');
+      record('end');
     },
     onLost: (sent) => {
-      done(`lost ${String(sent)}`);
+      record(`lost ${String(sent)}`);
     },
   };
 }
 
-/** A request that nothing becomes of. */
-const IGNORED: AcceptedRequest = { cancel: () => undefined, withdraw: () => undefined };
+/** A request that ignores cancellation. */
+const IGNORED_REQUEST: AcceptedRequest = { cancel: () => undefined, withdraw: () => undefined };
 
-test('a probe is answered with the status, on a new connection and on an open one', async (t) => {
+test('a probe is answered with a status, on a new and on an open connection', async (t) => {
   const statuses: StatusHead[] = [];
-  let answered = (): void => undefined;
-  const { client, close } = await linkTo(
-    () => IGNORED,
+  let onAnswered = (): void => undefined;
+  const { client, close } = await startLink(
+    () => IGNORED_REQUEST,
     (status) => {
       statuses.push(status);
-      answered();
+      onAnswered();
     },
   );
   for (const count of [1, 2]) {
     await new Promise<void>((resolve) => {
-      answered = resolve;
+      onAnswered = resolve;
       client.probe();
     });
     t.is(statuses.length, count);
@@ -110,27 +110,27 @@
   close();
 });
 
-test('a link that its owner closes is not told as lost', async (t) => {
-  const lost: string[] = [];
-  let connected = (): void => undefined;
-  const { client, close } = await linkTo(
-    () => IGNORED,
+test('stopping a client does not report a disconnect', async (t) => {
+  const disconnects: string[] = [];
+  let onConnected = (): void => undefined;
+  const { client, close } = await startLink(
+    () => IGNORED_REQUEST,
     () => {
-      connected();
+      onConnected();
     },
-    (reason) => lost.push(reason),
+    (reason) => disconnects.push(reason),
   );
   await new Promise<void>((resolve) => {
-    connected = resolve;
+    onConnected = resolve;
     client.probe();
   });
   client.stop();
-  t.deepEqual(lost, []);
+  t.deepEqual(disconnects, []);
   close();
 });
 
-test('a request reaches the other daemon as it is, and its answer comes back in pieces', async (t) => {
-  const { client, close } = await linkTo((head, body, reply) => {
+test('a request reaches the peer unchanged, and its answer is streamed back', async (t) => {
+  const { client, close } = await startLink((head, body, reply) => {
     t.deepEqual(head, HEAD);
     t.is(body.toString(), 'hello');
     const answer = {
@@ -144,14 +144,14 @@
     reply.answer({ ...answer, moreFollows: true }, Buffer.from('one'));
     reply.body(Buffer.from('two'));
     reply.end();
-    return IGNORED;
+    return IGNORED_REQUEST;
   });
   const lines: string[] = [];
   await new Promise<void>((resolve) => {
     client.request(
       HEAD,
       Buffer.from('hello'),
-      recorder((line) => {
+      recordingHandlers((line) => {
         lines.push(line);
         if (line === 'end') resolve();
       }),
@@ -162,12 +162,12 @@
   close();
 });
 
-test('a request that is taken back is cancelled at the other daemon', async (t) => {
+test('cancelling a request cancels it at the peer', async (t) => {
   await new Promise<void>((resolve) => {
-    void linkTo(() => {
-      taken();
+    void startLink(() => {
+      onReceived();
       return {
-        ...IGNORED,
+        ...IGNORED_REQUEST,
         cancel: () => {
           close();
           resolve();
@@ -178,39 +178,39 @@
       const request = link.client.request(
         HEAD,
         Buffer.alloc(0),
-        recorder(() => undefined),
+        recordingHandlers(() => undefined),
       );
-      taken = () => {
+      onReceived = () => {
         request.cancel();
       };
     });
     let close = (): void => undefined;
-    let taken = (): void => undefined;
+    let onReceived = (): void => undefined;
   });
   t.pass();
 });
 
-test('what was under way is lost with the connection, and what never left is told apart', async (t) => {
-  const { client, close } = await linkTo(() => {
+test('losing the connection reports whether a request was sent', async (t) => {
+  const { client, close } = await startLink(() => {
     close();
-    return IGNORED;
+    return IGNORED_REQUEST;
   });
   const lost = await new Promise<string>((resolve) => {
-    client.request(HEAD, Buffer.alloc(0), recorder(resolve));
+    client.request(HEAD, Buffer.alloc(0), recordingHandlers(resolve));
   });
   t.is(lost, 'lost true');
   const address = { host: '127.0.0.1', port: await freePort() };
-  const nobody = new LinkClient({ address, localAddress: null, pacer: null }, () => 0, {
+  const unreachableClient = new LinkClient({ address, localAddress: null, pacer: null }, () => 0, {
     onStatus: () => undefined,
     onDisconnect: () => undefined,
   });
-  const unsent = await new Promise<string>((resolve) => {
-    nobody.request(HEAD, Buffer.alloc(0), recorder(resolve));
+  const notSent = await new Promise<string>((resolve) => {
+    unreachableClient.request(HEAD, Buffer.alloc(0), recordingHandlers(resolve));
   });
-  t.is(unsent, 'lost false');
+  t.is(notSent, 'lost false');
 });
 
-test('frames are found in any cut of the byte stream, and garbage is refused', (t) => {
+test('frames are decoded at any chunk boundary, and invalid input is rejected', (t) => {
   const body = Buffer.from('body');
   const start = encodeFrameStart(FRAME_KIND.body, 3, { a: 1 }, body.length);
   const bytes = Buffer.concat([start, body, start, body]);
@@ -224,19 +224,19 @@
   t.true(new LinkFrameDecoder().push(Buffer.from('GET / HTTP/1.1\r\n\r\n')).err);
 });
 
-test('what a daemon that stops has not answered was not run, and can go elsewhere', async (t) => {
+test('requests that a stopping daemon has not answered are reported as not sent', async (t) => {
   const port = await freePort();
-  const taken: string[] = [];
+  const receivedIds: string[] = [];
   const server = new LinkServer(
     () => 0,
     'life',
     ({ requestId }, _body, reply) => {
-      taken.push(requestId);
+      receivedIds.push(requestId);
       if (requestId === 'first') {
-        reply.fail({ reason: 'broken', detail: 'the daemon stops', status: null });
+        reply.fail({ reason: 'broken', detail: 'daemon is stopping', status: null });
         server.close();
       }
-      return IGNORED;
+      return IGNORED_REQUEST;
     },
     () => STATUS,
   );
@@ -246,7 +246,7 @@
   const outcomeOf = async (requestId: string): Promise<string> =>
     await new Promise((resolve) => {
       client.request({ ...HEAD, requestId }, Buffer.alloc(0), {
-        ...recorder(resolve),
+        ...recordingHandlers(resolve),
         onFailure: ({ reason }) => {
           resolve(reason);
         },
@@ -257,16 +257,16 @@
   client.stop();
 });
 
-test('a request that is taken back before it began is refused', async (t) => {
-  const { client, close } = await linkTo((_head, _body, reply) => ({
-    ...IGNORED,
+test('a request that is withdrawn before it began is refused', async (t) => {
+  const { client, close } = await startLink((_head, _body, reply) => ({
+    ...IGNORED_REQUEST,
     withdraw: () => {
       reply.refuse({ reason: 'cancelled', arrived: false, retryAfterMs: 0, status: null });
     },
   }));
   const reason = await new Promise<string>((resolve) => {
     const request = client.request(HEAD, Buffer.alloc(0), {
-      ...recorder(resolve),
+      ...recordingHandlers(resolve),
       onRefusal: (refusal) => {
         resolve(refusal.reason);
       },
