--- a/src/quarantine/crash-commands.ts
+++ b/src/quarantine/crash-commands.ts
@@ -1,56 +1,56 @@
 /**
- * Commands that change crash records, and what they do. Deterministic, since they are applied on every replica; used by
- * the directory and by control alike.
+ * Replicated commands that change crash records. Applying them is deterministic, since every replica applies them. Shared
+ * by the directory and control.
  */
 import {
   emptyRecord,
-  endsOf,
-  ENDS_BEFORE_COUNT,
+  crashCount,
+  RUN_LIMIT_CRASH_THRESHOLD,
   isExhausted,
   isWatched,
-  MOST_COUNTED_RUNS,
+  MAX_COUNTED_RUNS,
   stageAt,
   withCompletion,
-  withEnd,
+  withCrash,
   withFailure,
   type CrashRecord,
   type CrashRecords,
 } from './crash-records.js';
 
-/** Records that daemons need not know, and records that they must; the oldest are forgotten first. */
-const MOST_UNWATCHED = 2_048;
-const MOST_WATCHED = 512;
+/** Maximum number of records that daemons need not know, and of records that they must; the oldest are evicted first. */
+const MAX_UNWATCHED_RECORDS = 2_048;
+const MAX_WATCHED_RECORDS = 512;
 
-/** Counted runs of which one is left to operators: time and new versions use the others. */
-const RUNS_LEFT_TO_OPERATORS = 1;
+/** Number of counted runs reserved for operators; the others are also used by timed reopening and new versions. */
+const RUNS_RESERVED_FOR_OPERATORS = 1;
 
-/** A request that a back end ended under. */
+/** A request that was being executed when its back end crashed. */
 export interface EndedRun {
   readonly fingerprint: string;
-  /** Whether the back end ran nothing else. */
+  /** Whether the back end executed no other request. */
   readonly alone: boolean;
 }
 
-/** A back end has ended by itself. */
+/** Records the crash of a back end. */
 export interface RecordEndCommand {
   readonly kind: 'record-end';
-  /** The life that ended. */
+  /** Incarnation that crashed. */
   readonly life: string;
   readonly service: string;
   readonly version: string;
   readonly runs: readonly EndedRun[];
 }
 
-/** A back end answered a run of a watched request, and goes on. */
+/** Records that a back end answered a watched request and did not crash. */
 export interface RecordCompletionCommand {
   readonly kind: 'record-completion';
   readonly fingerprint: string;
   readonly version: string;
-  /** Whether the answer was a success; a failure says less. */
+  /** Whether the answer was a success. A failure is weaker evidence that the request is harmless. */
   readonly isGood: boolean;
 }
 
-/** A life of a back end asks to run a suspect. */
+/** Requests a permit for an incarnation of a back end to execute a suspect request. */
 export interface PermitRunCommand {
   readonly kind: 'permit-run';
   readonly fingerprint: string;
@@ -58,7 +58,7 @@
   readonly version: string;
 }
 
-/** The permitted run has ended without telling anything, or was never begun. */
+/** Releases a permit whose run gave no evidence or never began. */
 export interface ReleasePermitCommand {
   readonly kind: 'release-permit';
   readonly fingerprint: string;
@@ -66,20 +66,20 @@
   readonly begun: boolean;
 }
 
-/** A quarantined request is given another chance, by an operator or after a time. */
+/** Lifts the quarantine of a request, by order of an operator or after a period of time. */
 export interface ReopenRequestCommand {
   readonly kind: 'reopen-request';
   readonly fingerprint: string;
   readonly by: 'operator' | 'time';
 }
 
-/** An operator says that nothing is to be held against a request any more. */
+/** Deletes the record of a request, by order of an operator. */
 export interface ForgetRequestCommand {
   readonly kind: 'forget-request';
   readonly fingerprint: string;
 }
 
-/** All commands on crash records. */
+/** Any command on crash records. */
 export type CrashCommand =
   | RecordEndCommand
   | RecordCompletionCommand
@@ -88,18 +88,18 @@
   | ReopenRequestCommand
   | ForgetRequestCommand;
 
-/** What a command did. */
+/** Result of applying a command. */
 export interface AppliedCrashCommand {
   readonly outcome: { readonly kind: 'done' } | { readonly kind: 'invalid'; readonly detail: string };
-  /** Records that daemons must know and that have changed. */
+  /** Changed records that are to be sent to daemons. */
   readonly changed: readonly CrashRecord[];
-  /** Fingerprints of records that daemons need not know any more. */
+  /** Fingerprints of records that daemons are to delete. */
   readonly removed: readonly string[];
 }
 
-const NOTHING: AppliedCrashCommand = { outcome: { kind: 'done' }, changed: [], removed: [] };
+const NO_CHANGE: AppliedCrashCommand = { outcome: { kind: 'done' }, changed: [], removed: [] };
 
-/** Applies one command that was committed at `index`. */
+/** Applies a command that was committed at log index `index`. */
 export function applyCrashCommand(
   records: CrashRecords,
   command: CrashCommand,
@@ -107,7 +107,7 @@
 ): AppliedCrashCommand {
   switch (command.kind) {
     case 'record-end':
-      return recordEnd(records, command, index);
+      return recordCrash(records, command, index);
     case 'record-completion':
       return recordCompletion(records, command);
     case 'permit-run':
@@ -115,13 +115,13 @@
     case 'release-permit':
       return releasePermit(records, command);
     case 'reopen-request':
-      return reopen(records, command);
+      return reopenRequest(records, command);
     case 'forget-request':
-      return forget(records, command);
+      return forgetRequest(records, command);
   }
 }
 
-/** Lives of back ends are gone: they run nothing any more. */
+/** Revokes the permits of incarnations that have ended; returns the changed records. */
 export function withdrawPermits(records: CrashRecords, lives: ReadonlySet<string>): readonly CrashRecord[] {
   const changed: CrashRecord[] = [];
   for (const record of records.values()) {
@@ -133,94 +133,99 @@
   return changed;
 }
 
-function recordEnd(records: CrashRecords, command: RecordEndCommand, index: number): AppliedCrashCommand {
+function recordCrash(records: CrashRecords, command: RecordEndCommand, index: number): AppliedCrashCommand {
   const { life, service, version, runs } = command;
   const changed: CrashRecord[] = [];
   for (const { fingerprint, alone } of runs) {
-    const known = records.get(fingerprint) ?? emptyRecord(fingerprint, service, index);
-    const ended = withEnd(known, version, life);
-    if (ended === known) continue;
-    // Only a back end that ran nothing else shows which request ended it.
-    const isProof = alone && endsOf(ended) >= ENDS_BEFORE_COUNT;
-    const permittedAt = ended.permittedAt === life ? null : ended.permittedAt;
-    const next = { ...ended, service, index, permittedAt, quarantined: ended.quarantined || isProof };
+    const previous = records.get(fingerprint) ?? emptyRecord(fingerprint, service, index);
+    const updated = withCrash(previous, version, life);
+    if (updated === previous) continue;
+    // Which request caused a crash is certain only if the back end executed no other request.
+    const isProof = alone && crashCount(updated) >= RUN_LIMIT_CRASH_THRESHOLD;
+    const permittedAt = updated.permittedAt === life ? null : updated.permittedAt;
+    const next = { ...updated, service, index, permittedAt, quarantined: updated.quarantined || isProof };
     records.set(fingerprint, next);
     if (isWatched(next)) changed.push(next);
   }
-  const removed = forgetOldest(records);
+  const removed = evictOldest(records);
   return { outcome: { kind: 'done' }, changed, removed };
 }
 
 function recordCompletion(records: CrashRecords, command: RecordCompletionCommand): AppliedCrashCommand {
   const known = records.get(command.fingerprint);
-  if (known === undefined) return NOTHING;
+  if (known === undefined) return NO_CHANGE;
   const next = command.isGood ? withCompletion(known, command.version) : withFailure(known, command.version);
   if (next === null) {
     records.delete(command.fingerprint);
-    return { ...NOTHING, removed: [command.fingerprint] };
+    return { ...NO_CHANGE, removed: [command.fingerprint] };
   }
   records.set(command.fingerprint, next);
-  return isWatched(next) ? { ...NOTHING, changed: [next] } : { ...NOTHING, removed: [command.fingerprint] };
+  return isWatched(next)
+    ? { ...NO_CHANGE, changed: [next] }
+    : { ...NO_CHANGE, removed: [command.fingerprint] };
 }
 
 function permitRun(records: CrashRecords, command: PermitRunCommand): AppliedCrashCommand {
   const { fingerprint, life, version } = command;
   const known = records.get(fingerprint);
-  if (known === undefined || stageAt(known, version) === 'free') return NOTHING;
-  if (known.permittedAt === life) return NOTHING;
-  if (known.permittedAt !== null) return invalid(`it runs at ${known.permittedAt}`);
-  if (stageAt(known, version) === 'quarantined') return invalid('it is quarantined');
-  const counts = endsOf(known) >= ENDS_BEFORE_COUNT;
-  const next = { ...known, permittedAt: life, countedRuns: known.countedRuns + (counts ? 1 : 0) };
+  if (known === undefined || stageAt(known, version) === 'free') return NO_CHANGE;
+  if (known.permittedAt === life) return NO_CHANGE;
+  if (known.permittedAt !== null) return invalid(`the permit is held by ${known.permittedAt}`);
+  if (stageAt(known, version) === 'quarantined') return invalid('the request is quarantined');
+  const isCounted = crashCount(known) >= RUN_LIMIT_CRASH_THRESHOLD;
+  const next = { ...known, permittedAt: life, countedRuns: known.countedRuns + (isCounted ? 1 : 0) };
   records.set(fingerprint, next);
-  return { ...NOTHING, changed: [next] };
+  return { ...NO_CHANGE, changed: [next] };
 }
 
 function releasePermit(records: CrashRecords, command: ReleasePermitCommand): AppliedCrashCommand {
   const { fingerprint, life, begun } = command;
   const known = records.get(fingerprint);
-  if (known?.permittedAt !== life) return NOTHING;
-  const unused = !begun && endsOf(known) >= ENDS_BEFORE_COUNT;
+  if (known?.permittedAt !== life) return NO_CHANGE;
+  const unused = !begun && crashCount(known) >= RUN_LIMIT_CRASH_THRESHOLD;
   const next = { ...known, permittedAt: null, countedRuns: known.countedRuns - (unused ? 1 : 0) };
   records.set(fingerprint, next);
-  return { ...NOTHING, changed: [next] };
+  return { ...NO_CHANGE, changed: [next] };
 }
 
-function reopen(records: CrashRecords, { fingerprint, by }: ReopenRequestCommand): AppliedCrashCommand {
+function reopenRequest(
+  records: CrashRecords,
+  { fingerprint, by }: ReopenRequestCommand,
+): AppliedCrashCommand {
   const known = records.get(fingerprint);
-  const kept = by === 'operator' ? 0 : RUNS_LEFT_TO_OPERATORS;
-  if (known !== undefined && (isExhausted(known) || known.countedRuns >= MOST_COUNTED_RUNS - kept)) {
+  const reservedRuns = by === 'operator' ? 0 : RUNS_RESERVED_FOR_OPERATORS;
+  if (known !== undefined && (isExhausted(known) || known.countedRuns >= MAX_COUNTED_RUNS - reservedRuns)) {
     return invalid('all runs that may follow its third end have been used');
   }
   if (known?.quarantined !== true) return invalid('no such request is quarantined');
   const next = { ...known, quarantined: false };
   records.set(fingerprint, next);
-  return { ...NOTHING, changed: [next] };
+  return { ...NO_CHANGE, changed: [next] };
 }
 
-function forget(records: CrashRecords, { fingerprint }: ForgetRequestCommand): AppliedCrashCommand {
+function forgetRequest(records: CrashRecords, { fingerprint }: ForgetRequestCommand): AppliedCrashCommand {
   if (!records.delete(fingerprint)) return invalid('nothing is known of such a request');
-  return { ...NOTHING, removed: [fingerprint] };
+  return { ...NO_CHANGE, removed: [fingerprint] };
 }
 
 function invalid(detail: string): AppliedCrashCommand {
-  return { ...NOTHING, outcome: { kind: 'invalid', detail } };
+  return { ...NO_CHANGE, outcome: { kind: 'invalid', detail } };
 }
 
-/** Keeps the number of records bounded, however many requests end back ends; returns what daemons are to forget. */
-function forgetOldest(records: CrashRecords): string[] {
+/** Evicts the oldest records beyond the limits; returns the fingerprints of those that daemons are to delete. */
+function evictOldest(records: CrashRecords): string[] {
   const removed: string[] = [];
-  for (const [watched, most] of [
-    [false, MOST_UNWATCHED],
-    [true, MOST_WATCHED],
+  for (const [watched, maxRecords] of [
+    [false, MAX_UNWATCHED_RECORDS],
+    [true, MAX_WATCHED_RECORDS],
   ] as const) {
-    const kind = [...records.values()].filter((record) => isWatched(record) === watched);
-    if (kind.length <= most) continue;
-    // What is quarantined was proved and is kept longest.
-    kind.sort(
+    const candidates = [...records.values()].filter((record) => isWatched(record) === watched);
+    if (candidates.length <= maxRecords) continue;
+    // Quarantined requests are proven to cause crashes, so they are evicted last.
+    candidates.sort(
       (left, right) => Number(left.quarantined) - Number(right.quarantined) || left.index - right.index,
     );
-    for (const { fingerprint } of kind.slice(0, kind.length - most)) {
+    for (const { fingerprint } of candidates.slice(0, candidates.length - maxRecords)) {
       records.delete(fingerprint);
       if (watched) removed.push(fingerprint);
     }
--- a/src/quarantine/crash-duties.ts
+++ b/src/quarantine/crash-duties.ts
@@ -1,82 +1,85 @@
-/** What a leader does by itself about crash records: it ends permits that nobody uses, and gives another chance in time. */
+/** Periodic tasks of a leader on crash records: releases expired permits, and lifts quarantines after a period of time. */
 import type { CrashCommand } from './crash-commands.js';
 import type { CrashRecord, CrashRecords } from './crash-records.js';
 
 /**
- * Time in ms after which a permit is taken for lost: longer than any run that it was given for waits and takes, so that it
- * never stands for two runs.
+ * Time in ms after which a permit is released as lost. Longer than the waiting and service time of any permitted run, so
+ * that no second run is permitted while the first one is in flight.
  */
-const PERMIT_LIMIT_MS = 15_000;
+const PERMIT_TIMEOUT_MS = 15_000;
 
 /**
- * Time in ms for which a request stays quarantined until it is given another chance by time alone, and the factor for each
- * further one. Each chance may cost a back end, so it is long against the time in which a repaired version is rolled out,
- * which is a chance by itself.
+ * Time in ms after which the first quarantine of a request is lifted, and the factor by which each counted run lengthens
+ * it. Each further run may crash a back end, so the time is long compared with the rollout of a fixed version, at which the
+ * request may be run anyway.
  */
-const FIRST_REOPEN_MS = 10 * 60 * 1_000;
+const FIRST_REOPEN_DELAY_MS = 10 * 60 * 1_000;
 const REOPEN_FACTOR = 6;
 
-/** The duties of one leader. Times are ms of its own clock, since it began to lead. */
+/**
+ * Tasks of one leader. Periods are measured on the leader's own clock and start anew with each leader, since clocks of
+ * different replicas cannot be compared.
+ */
 export class CrashDuties {
-  private readonly permittedSinceMs = new Map<string, number>();
-  private readonly quarantinedSinceMs = new Map<string, number>();
+  private readonly permitSeenAtMs = new Map<string, number>();
+  private readonly quarantineSeenAtMs = new Map<string, number>();
 
   constructor(
     private readonly records: () => CrashRecords,
     private readonly propose: (command: CrashCommand) => void,
   ) {}
 
-  /** This replica has become leader: what it finds counts from now on. */
+  /** Restarts all periods, when this replica becomes leader. */
   startLeading(): void {
-    this.permittedSinceMs.clear();
-    this.quarantinedSinceMs.clear();
+    this.permitSeenAtMs.clear();
+    this.quarantineSeenAtMs.clear();
   }
 
-  /** Proposes what is due. */
+  /** Proposes the commands that are due. */
   run(nowMs: number): void {
     const records = this.records();
-    if (records.size === 0 && this.permittedSinceMs.size + this.quarantinedSinceMs.size === 0) return;
-    keepOnly(this.permittedSinceMs, (name) => isPermitted(records, name));
-    keepOnly(this.quarantinedSinceMs, (fingerprint) => records.get(fingerprint)?.quarantined === true);
-    for (const record of records.values()) this.look(record, nowMs);
+    if (records.size === 0 && this.permitSeenAtMs.size + this.quarantineSeenAtMs.size === 0) return;
+    deleteOutdated(this.permitSeenAtMs, (key) => isPermitted(records, key));
+    deleteOutdated(this.quarantineSeenAtMs, (fingerprint) => records.get(fingerprint)?.quarantined === true);
+    for (const record of records.values()) this.checkRecord(record, nowMs);
   }
 
-  private look(record: CrashRecord, nowMs: number): void {
+  private checkRecord(record: CrashRecord, nowMs: number): void {
     const { fingerprint, permittedAt, quarantined, countedRuns } = record;
     if (
       permittedAt !== null &&
-      this.isDue(this.permittedSinceMs, permitName(record), PERMIT_LIMIT_MS, nowMs)
+      this.isDue(this.permitSeenAtMs, permitKey(record), PERMIT_TIMEOUT_MS, nowMs)
     ) {
       this.propose({ kind: 'release-permit', fingerprint, life: permittedAt, begun: true });
     }
-    const pauseMs = FIRST_REOPEN_MS * REOPEN_FACTOR ** countedRuns;
-    if (quarantined && this.isDue(this.quarantinedSinceMs, fingerprint, pauseMs, nowMs)) {
+    const reopenDelayMs = FIRST_REOPEN_DELAY_MS * REOPEN_FACTOR ** countedRuns;
+    if (quarantined && this.isDue(this.quarantineSeenAtMs, fingerprint, reopenDelayMs, nowMs)) {
       this.propose({ kind: 'reopen-request', fingerprint, by: 'time' });
     }
   }
 
-  /** Whether something has stood for so long; it is due again after as long. */
-  private isDue(since: Map<string, number>, name: string, afterMs: number, nowMs: number): boolean {
-    const sinceMs = since.get(name);
+  /** Whether `afterMs` has passed since the key was first seen or last due. */
+  private isDue(sinceByKey: Map<string, number>, key: string, delayMs: number, nowMs: number): boolean {
+    const sinceMs = sinceByKey.get(key);
     if (sinceMs === undefined) {
-      since.set(name, nowMs);
+      sinceByKey.set(key, nowMs);
       return false;
     }
-    if (nowMs - sinceMs < afterMs) return false;
-    since.set(name, nowMs);
+    if (nowMs - sinceMs < delayMs) return false;
+    sinceByKey.set(key, nowMs);
     return true;
   }
 }
 
-function permitName({ fingerprint, permittedAt }: CrashRecord): string {
+function permitKey({ fingerprint, permittedAt }: CrashRecord): string {
   return `${fingerprint} ${permittedAt ?? ''}`;
 }
 
-function isPermitted(records: CrashRecords, name: string): boolean {
-  const record = records.get(name.slice(0, name.indexOf(' ')));
-  return record !== undefined && record.permittedAt !== null && permitName(record) === name;
+function isPermitted(records: CrashRecords, key: string): boolean {
+  const record = records.get(key.slice(0, key.indexOf(' ')));
+  return record !== undefined && record.permittedAt !== null && permitKey(record) === key;
 }
 
-function keepOnly(since: Map<string, number>, stands: (name: string) => boolean): void {
-  for (const name of since.keys()) if (!stands(name)) since.delete(name);
+function deleteOutdated(sinceByKey: Map<string, number>, isCurrent: (key: string) => boolean): void {
+  for (const key of sinceByKey.keys()) if (!isCurrent(key)) sinceByKey.delete(key);
 }
--- a/src/quarantine/crash-messages.ts
+++ b/src/quarantine/crash-messages.ts
@@ -1,12 +1,12 @@
-/** What daemons beside or in front of back ends tell a leader about runs, and what it answers; the same in both stacks. */
+/** Messages between daemons and the leader about runs of suspect requests and crashes, shared by the directory and control. */
 import * as z from 'zod/mini';
 import type { CrashCommand } from './crash-commands.js';
 import type { CrashRecords } from './crash-records.js';
 
-/** A back end has ended by itself under these runs. */
+/** Reports that a back end crashed during these runs. */
 export const backendEndedSchema = z.object({
   kind: z.literal('backend-ended'),
-  /** Comes back with the answer. */
+  /** Returned with the acknowledgement. */
   token: z.number(),
   life: z.string(),
   service: z.string(),
@@ -14,7 +14,7 @@
   runs: z.array(z.object({ fingerprint: z.string(), alone: z.boolean() })),
 });
 
-/** A back end has answered a run of a watched request, and goes on. */
+/** Reports that a back end answered a watched request and did not crash. */
 export const runCompletedSchema = z.object({
   kind: z.literal('run-completed'),
   fingerprint: z.string(),
@@ -22,7 +22,7 @@
   isGood: z.boolean(),
 });
 
-/** Asks to run a suspect at a life of a back end. */
+/** Requests a permit to execute a suspect request at an incarnation of a back end. */
 export const runPermitSchema = z.object({
   kind: z.literal('run-permit'),
   fingerprint: z.string(),
@@ -30,7 +30,7 @@
   version: z.string(),
 });
 
-/** Gives a permit back; `begun`: a run of it may have begun. */
+/** Releases a permit; `begun` tells whether its run may have begun. */
 export const permitReleasedSchema = z.object({
   kind: z.literal('permit-released'),
   fingerprint: z.string(),
@@ -38,28 +38,28 @@
   begun: z.boolean(),
 });
 
-/** What a daemon tells of runs. */
+/** Message of a daemon about runs. */
 export type RunRequest =
   | z.infer<typeof backendEndedSchema>
   | z.infer<typeof runCompletedSchema>
   | z.infer<typeof runPermitSchema>
   | z.infer<typeof permitReleasedSchema>;
 
-/** What the leader answers. */
+/** Message of the leader to a daemon about runs. */
 export type RunNotice =
-  /** The end of a back end is on record. */
+  /** Acknowledges that the crash of a back end was committed. */
   | { readonly kind: 'end-recorded'; readonly token: number }
-  /** A life of a back end may run a suspect once. */
+  /** Permits an incarnation of a back end to execute a suspect request once. */
   | { readonly kind: 'run-permitted'; readonly fingerprint: string; readonly life: string };
 
-/** What the leader needs to answer. */
+/** Dependencies of `answerRunRequest`. */
 export interface RunRequestPorts {
   readonly records: () => CrashRecords;
-  /** Proposes a command; true once it is committed and did what it says. */
+  /** Proposes a command; resolves to true once it was committed and applied successfully. */
   readonly propose: (command: CrashCommand) => Promise<boolean>;
 }
 
-/** Answers a daemon, at the leader. */
+/** Handles a daemon's message at the leader. */
 export async function answerRunRequest(
   request: RunRequest,
   ports: RunRequestPorts,
--- a/src/quarantine/crash-records.ts
+++ b/src/quarantine/crash-records.ts
@@ -1,69 +1,69 @@
 /**
- * What is known of requests under which back ends have ended. One end proves nothing, since everything that ran there was
- * present; a request becomes a suspect with the second, and is quarantined only when it has ended a back end that ran
- * nothing else. A run that ends well clears it, for the version of the software at which it did.
+ * Records of requests that were being executed when back ends crashed. One crash proves nothing, since it implicates every
+ * request in flight. From the second crash on a request is a suspect; it is quarantined only once it has crashed a back end
+ * that executed nothing else. A successful run clears it for the software version that completed the run.
  */
 
-/** Ends after which a request is a suspect: it runs alone, one run at a time in the whole deployment. */
-export const ENDS_OF_SUSPECT = 2;
+/** Number of crashes that make a request a suspect: it is executed alone, one run at a time in the whole deployment. */
+export const SUSPECT_CRASH_THRESHOLD = 2;
 
-/** Ends from which on the runs of a request are counted, and how many of them may follow. */
-export const ENDS_BEFORE_COUNT = 3;
-/** See `ENDS_BEFORE_COUNT`; the users' limit. */
-export const MOST_COUNTED_RUNS = 3;
+/** Number of crashes from which on the permitted runs of a request are counted and limited. */
+export const RUN_LIMIT_CRASH_THRESHOLD = 3;
+/** Maximum number of counted runs: a request may be run this many times after its third crash. */
+export const MAX_COUNTED_RUNS = 3;
 
 /**
- * Runs in a row that the back end answered with a failure after which they count as a good one: it has outlived them all.
- * A single one says less, since a call that failed may have ended the run before it came to the harm.
+ * Number of consecutive failed runs, all survived by the back end, that count as a successful one. A single failure is
+ * weaker evidence, since the run may have failed before it reached the code that crashes.
  */
-const FAILURES_OUTLIVED = 3;
+const SURVIVED_FAILURES_TO_CLEAR = 3;
 
-/** Versions of the software that a record tells apart; those that were seen first are forgotten first. */
-const MOST_VERSIONS = 4;
+/** Maximum number of software versions in a record; the least recently updated are evicted first. */
+const MAX_VERSIONS_PER_RECORD = 4;
 
-/** Ended lives that a record names for each version, so that a report that comes again counts once. */
-const MOST_LIVES = 8;
+/** Maximum number of crashed incarnations that a record lists per version, to deduplicate repeated reports. */
+const MAX_INCARNATIONS_PER_VERSION = 8;
 
 /** How a request is treated at back ends of one version. */
 export type CrashStage =
-  /** Like any other. */
+  /** Executed without restrictions. */
   | 'free'
-  /** It runs by permit and alone. */
+  /** Executed with a permit only, and alone. */
   | 'suspect'
-  /** It does not run. */
+  /** Not executed. */
   | 'quarantined';
 
-/** What one version of a service's software did under a request. */
+/** History of a request at one version of a service's software. */
 export interface VersionRecord {
   readonly version: string;
-  /** Lives that ended under the request since it last ended well there. */
+  /** Incarnations that crashed during the request since its last successful run at this version. */
   readonly lives: readonly string[];
-  /** Whether a run of it has ended well there. */
+  /** Whether a run has succeeded at this version. */
   readonly endedWell: boolean;
-  /** Runs in a row that the back end outlived and answered with a failure. */
+  /** Number of consecutive failed runs that the back end survived. */
   readonly outlived: number;
 }
 
-/** What is known of one request. */
+/** Crash record of one request. */
 export interface CrashRecord {
   readonly fingerprint: string;
-  /** Service whose back end ended last. */
+  /** Service whose back end crashed last. */
   readonly service: string;
   readonly versions: readonly VersionRecord[];
-  /** Whether it has ended a back end that ran nothing else, and has not been given another chance since. */
+  /** Whether the request has crashed a back end that executed nothing else, and has not been reopened since. */
   readonly quarantined: boolean;
-  /** Runs that were permitted after the ends from which on they are counted. */
+  /** Number of runs permitted since runs are counted (see `RUN_LIMIT_CRASH_THRESHOLD`). */
   readonly countedRuns: number;
-  /** Life of the back end that may run it now; null when none may. */
+  /** Incarnation of the back end that holds the permit to execute the request; null if none does. */
   readonly permittedAt: string | null;
-  /** Index of the log entry of its last end. */
+  /** Log index of the request's last crash. */
   readonly index: number;
 }
 
-/** Records by fingerprint. */
+/** Crash records by fingerprint. */
 export type CrashRecords = Map<string, CrashRecord>;
 
-/** A record before the first end. */
+/** Returns a new record, without any crash. */
 export function emptyRecord(fingerprint: string, service: string, index: number): CrashRecord {
   return {
     fingerprint,
@@ -76,59 +76,67 @@
   };
 }
 
-/** Ends under the request that no run which ended well has cleared. */
-export function endsOf({ versions }: CrashRecord): number {
+/** Returns the number of crashes that no successful run has cleared. */
+export function crashCount({ versions }: CrashRecord): number {
   return versions.reduce((sum, { lives }) => sum + lives.length, 0);
 }
 
-/** Whether daemons must know the record. */
+/** Whether the record is replicated to daemons, because its request is a suspect. */
 export function isWatched(record: CrashRecord): boolean {
-  return endsOf(record) >= ENDS_OF_SUSPECT;
+  return crashCount(record) >= SUSPECT_CRASH_THRESHOLD;
 }
 
-/** Whether no further run may be permitted: all that may follow have been used. */
+/** Whether no further run may be permitted, because all counted runs have been used. */
 export function isExhausted(record: CrashRecord): boolean {
-  return endsOf(record) >= ENDS_BEFORE_COUNT && record.countedRuns >= MOST_COUNTED_RUNS;
+  return crashCount(record) >= RUN_LIMIT_CRASH_THRESHOLD && record.countedRuns >= MAX_COUNTED_RUNS;
 }
 
-/** How the request is treated at a version. One that was never tried there has a chance, as long as any is left. */
+/**
+ * Returns how the request is treated at a version. At a version without history it may run as a suspect even if it is
+ * quarantined, as long as counted runs are left.
+ */
 export function stageAt(record: CrashRecord, version: string): CrashStage {
-  const known = record.versions.find((one) => one.version === version);
-  if (!isWatched(record) || (known?.endedWell === true && known.lives.length === 0)) return 'free';
+  const versionRecord = record.versions.find((one) => one.version === version);
+  if (!isWatched(record) || (versionRecord?.endedWell === true && versionRecord.lives.length === 0))
+    return 'free';
   if (isExhausted(record)) return 'quarantined';
-  if (record.quarantined && known !== undefined) return 'quarantined';
+  if (record.quarantined && versionRecord !== undefined) return 'quarantined';
   return 'suspect';
 }
 
-/** The record after a life of a back end has ended under the request; the same one when that was known. */
-export function withEnd(record: CrashRecord, version: string, life: string): CrashRecord {
-  const known = record.versions.find((one) => one.version === version) ?? newVersion(version);
-  if (known.lives.includes(life)) return record;
-  const changed = { ...known, outlived: 0, lives: [...known.lives, life].slice(-MOST_LIVES) };
-  return { ...record, versions: replaceVersion(record.versions, changed) };
+/** Returns the record with a crash of an incarnation added; the same object if the crash is already recorded. */
+export function withCrash(record: CrashRecord, version: string, life: string): CrashRecord {
+  const versionRecord = record.versions.find((one) => one.version === version) ?? emptyVersionRecord(version);
+  if (versionRecord.lives.includes(life)) return record;
+  const updated = {
+    ...versionRecord,
+    outlived: 0,
+    lives: [...versionRecord.lives, life].slice(-MAX_INCARNATIONS_PER_VERSION),
+  };
+  return { ...record, versions: replaceVersion(record.versions, updated) };
 }
 
-/** The record after the back end has outlived a run and answered it with a failure; null as for a good one. */
+/** Returns the record after a failed run that the back end survived; null if that clears the last crash. */
 export function withFailure(record: CrashRecord, version: string): CrashRecord | null {
-  const known = record.versions.find((one) => one.version === version) ?? newVersion(version);
-  const outlived = known.outlived + 1;
-  if (outlived >= FAILURES_OUTLIVED) return withCompletion(record, version);
-  return { ...record, versions: replaceVersion(record.versions, { ...known, outlived }) };
+  const versionRecord = record.versions.find((one) => one.version === version) ?? emptyVersionRecord(version);
+  const outlived = versionRecord.outlived + 1;
+  if (outlived >= SURVIVED_FAILURES_TO_CLEAR) return withCompletion(record, version);
+  return { ...record, versions: replaceVersion(record.versions, { ...versionRecord, outlived }) };
 }
 
-/** The record after a run has ended well; null when nothing is held against the request any more. */
+/** Returns the record after a successful run; null if no crash remains and the record can be deleted. */
 export function withCompletion(record: CrashRecord, version: string): CrashRecord | null {
-  const changed = { version, lives: [], endedWell: true, outlived: 0 };
-  const versions = replaceVersion(record.versions, changed);
+  const updated = { version, lives: [], endedWell: true, outlived: 0 };
+  const versions = replaceVersion(record.versions, updated);
   const next = { ...record, versions };
-  return endsOf(next) === 0 ? null : next;
+  return crashCount(next) === 0 ? null : next;
 }
 
-function newVersion(version: string): VersionRecord {
+function emptyVersionRecord(version: string): VersionRecord {
   return { version, lives: [], endedWell: false, outlived: 0 };
 }
 
-function replaceVersion(versions: readonly VersionRecord[], changed: VersionRecord): VersionRecord[] {
-  const others = versions.filter(({ version }) => version !== changed.version);
-  return [...others, changed].slice(-MOST_VERSIONS);
+function replaceVersion(versions: readonly VersionRecord[], updated: VersionRecord): VersionRecord[] {
+  const others = versions.filter(({ version }) => version !== updated.version);
+  return [...others, updated].slice(-MAX_VERSIONS_PER_RECORD);
 }
--- a/src/quarantine/interrupted-runs.ts
+++ b/src/quarantine/interrupted-runs.ts
@@ -1,54 +1,57 @@
 /**
- * Runs of one life of a back end that ended without its answer a moment ago. When the back end turns out to have ended,
- * they are the runs that it ended under.
+ * Recent runs at one incarnation of a back end that ended without an answer. If the back end turns out to have crashed,
+ * they are the runs that were in flight during the crash.
  */
 /**
- * Time in ms for which a run that was broken off from here may still be at work at the back end: the way there, and a
- * look of the back end at its connections.
+ * Time in ms for which a run that this daemon cancelled may still be executed by the back end: the network latency plus the
+ * time until the back end notices the closed connection.
  */
-const LINGERING_MS = 250;
+const CANCELLED_RUN_LINGER_MS = 250;
 
-/** Time in ms within which an answer may be read after a connection broke although it was sent before that. */
-const SAME_BURST_MS = 50;
+/** Time in ms by which an answer may be read later than a broken connection although it was sent before the break. */
+const ANSWER_DELAY_TOLERANCE_MS = 50;
 
-/** Runs that are kept; more cannot have been at work at once. */
-const MOST_KEPT = 256;
+/** Maximum number of runs stored; no more can have been in flight at the same time. */
+const MAX_STORED_RUNS = 256;
 
-/** A run that has no answer. */
+/** A run that ended without an answer. */
 export interface InterruptedRun {
   readonly requestId: string;
   readonly fingerprint: string;
-  /** Whether the back end broke the connection; otherwise the run was broken off from here. */
+  /** Whether the back end closed the connection; otherwise this daemon cancelled the run. */
   readonly byBackend: boolean;
-  /** Whether nothing else ran at the back end from its begin to its end. */
+  /** Whether the back end executed no other request between the start and the end of the run. */
   readonly alone: boolean;
-  /** When it ended, in ms of the daemon's clock. */
+  /** Time of the end of the run, in ms of the daemon's clock. */
   readonly endedMs: number;
   readonly usedMs: number;
 }
 
-/** The runs of one back end. */
+/** Interrupted runs of one back end. */
 export class InterruptedRuns {
   private runs: InterruptedRun[] = [];
 
-  /** A run has ended without an answer. */
+  /** Records a run that ended without an answer. */
   note(run: InterruptedRun): void {
-    this.runs = [...this.runs, run].slice(-MOST_KEPT);
+    this.runs = [...this.runs, run].slice(-MAX_STORED_RUNS);
   }
 
-  /** The back end has answered: it lives, so what broke off before has not ended it. */
+  /** Handles an answer of the back end: it is live, so the runs interrupted earlier did not crash it and are discarded. */
   backendAnswered(nowMs: number): void {
-    if (this.runs.length > 0) this.runs = this.runs.filter(({ endedMs }) => endedMs > nowMs - SAME_BURST_MS);
+    if (this.runs.length > 0)
+      this.runs = this.runs.filter(({ endedMs }) => endedMs > nowMs - ANSWER_DELAY_TOLERANCE_MS);
   }
 
   /**
-   * The runs under which the back end has ended, if their connections broke after `sinceMs`; they are not kept any longer.
-   * Without a broken connection there is no sign that anything ended.
+   * Removes all runs and returns those that were in flight during the crash, provided that the back end closed a connection
+   * at `sinceMs` or later. Without such a connection there is no evidence of a crash, and none is returned.
    */
   take(sinceMs: number): readonly InterruptedRun[] {
-    const lastMs = this.runs.findLast(({ byBackend }) => byBackend)?.endedMs ?? -Infinity;
-    const taken = this.runs.filter(({ endedMs }) => Math.abs(endedMs - lastMs) <= LINGERING_MS);
+    const lastBreakMs = this.runs.findLast(({ byBackend }) => byBackend)?.endedMs ?? -Infinity;
+    const crashRuns = this.runs.filter(
+      ({ endedMs }) => Math.abs(endedMs - lastBreakMs) <= CANCELLED_RUN_LINGER_MS,
+    );
     this.runs = [];
-    return lastMs >= sinceMs && lastMs !== -Infinity ? taken : [];
+    return lastBreakMs >= sinceMs && lastBreakMs !== -Infinity ? crashRuns : [];
   }
 }
--- a/src/quarantine/quarantine-view.ts
+++ b/src/quarantine/quarantine-view.ts
@@ -1,51 +1,51 @@
-/** A daemon's copy of the crash records that it must know, and what they say of a request. */
+/** A daemon's copy of the watched crash records, by which it classifies requests. */
 import { stageAt, type CrashRecord, type CrashRecords, type CrashStage } from './crash-records.js';
 import { fingerprintOf, type IdentifiedRequest } from './request-fingerprint.js';
 
-/** What the records say of a request. */
+/** Classification of a request. */
 export interface Judged {
   readonly stage: CrashStage;
-  /** Null while there are no records, when none is worked out. */
+  /** Null while there are no records, when fingerprints are not computed. */
   readonly fingerprint: string | null;
   readonly record: CrashRecord | null;
 }
 
-const UNKNOWN: Judged = { stage: 'free', fingerprint: null, record: null };
+const UNCLASSIFIED: Judged = { stage: 'free', fingerprint: null, record: null };
 
-/** The copy. */
+/** Local copy of the watched crash records. */
 export class QuarantineView {
   private records: CrashRecords = new Map();
 
-  /** All records, by fingerprint. */
+  /** All records by fingerprint. */
   get all(): ReadonlyMap<string, CrashRecord> {
     return this.records;
   }
 
-  /** Takes a whole set of records. */
+  /** Replaces all records. */
   replace(records: Iterable<CrashRecord>): void {
     this.records = new Map([...records].map((record) => [record.fingerprint, record]));
   }
 
-  /** Takes changed records, and fingerprints whose records are gone. */
+  /** Stores changed records and deletes removed ones. */
   apply(changed: readonly CrashRecord[], removed: readonly string[]): void {
     for (const record of changed) this.records.set(record.fingerprint, record);
     for (const fingerprint of removed) this.records.delete(fingerprint);
   }
 
-  /** The record of a fingerprint; null where there is none. */
+  /** Returns the record of a fingerprint; null if there is none. */
   recordOf(fingerprint: string): CrashRecord | null {
     return this.records.get(fingerprint) ?? null;
   }
 
-  /** What holds for a request at back ends of a version. As long as there are no records it costs nothing. */
+  /** Classifies a request for back ends of a version. Computes no fingerprint while there are no records. */
   judge(request: IdentifiedRequest, version: string): Judged {
-    if (this.records.size === 0) return UNKNOWN;
+    if (this.records.size === 0) return UNCLASSIFIED;
     const fingerprint = fingerprintOf(request);
     const record = this.records.get(fingerprint) ?? null;
     return { stage: record === null ? 'free' : stageAt(record, version), fingerprint, record };
   }
 
-  /** The fingerprint of a request that no back end of these versions may run; null where one may. */
+  /** Returns the fingerprint of a request that is quarantined at all of these versions; null if any of them may run it. */
   refusedEverywhere(request: IdentifiedRequest, versions: () => ReadonlySet<string>): string | null {
     if (this.records.size === 0) return null;
     const fingerprint = fingerprintOf(request);
--- a/src/quarantine/request-fingerprint.ts
+++ b/src/quarantine/request-fingerprint.ts
@@ -1,45 +1,45 @@
 /**
- * What makes two requests the same request: method, host, path, key, the caller's credential and body. Ids, deadlines
- * and the daemon where a request came in are left out, since the next coming of the same request has others.
+ * Fingerprints that identify repetitions of a request. They cover its method, host, path, key, credential and body, but no
+ * ids, deadlines or the daemon that received it, since these differ between repetitions.
  */
 import { createHash } from 'node:crypto';
 import { headerValue } from '../sidecar/header-dialect.js';
 
-/** Bytes that are kept of the SHA-256 digest: to find two requests of one digest takes some 2^96 trials. */
-const KEPT_BYTES = 24;
+/** Length in bytes of the truncated SHA-256 digest: finding a collision takes about 2^96 trials. */
+const FINGERPRINT_BYTES = 24;
 
 const CREDENTIAL_HEADER = 'authorization';
 
-/** The parts of a request that its fingerprint is made of. */
+/** Parts of a request that determine its fingerprint. */
 export interface IdentifiedRequest {
   readonly method: string;
-  /** Where requests are routed by host; null where the host only names the daemon that was called. */
+  /** Host of the request; null if requests are not routed by host, and it only names the called daemon. */
   readonly host: string | null;
   /** Path and query. */
   readonly path: string;
-  /** Names and values in turn. */
+  /** Alternating header names and values. */
   readonly headers: readonly string[];
-  /** Key of the request; null where its service is not divided by key. */
+  /** Key of the request; null if its service is not partitioned by key. */
   readonly key: string | number | null;
   readonly body: Buffer;
 }
 
-/** Fingerprints that were worked out, so that a long body is read once for a request. */
-const known = new WeakMap<IdentifiedRequest, string>();
+/** Cached fingerprints, so that a long body is hashed only once per request. */
+const fingerprintCache = new WeakMap<IdentifiedRequest, string>();
 
-/** The fingerprint of a request, worked out once for each of its objects. */
+/** Returns the fingerprint of a request, cached per request object. */
 export function fingerprintOf(request: IdentifiedRequest): string {
-  const fingerprint = known.get(request) ?? requestFingerprint(request);
-  known.set(request, fingerprint);
+  const fingerprint = fingerprintCache.get(request) ?? requestFingerprint(request);
+  fingerprintCache.set(request, fingerprint);
   return fingerprint;
 }
 
-/** The fingerprint of a request, in base64url. */
+/** Computes the fingerprint of a request, in base64url. */
 export function requestFingerprint({ method, host, path, headers, key, body }: IdentifiedRequest): string {
   const hash = createHash('sha256');
   const credential = headerValue(headers, CREDENTIAL_HEADER) ?? '';
   const keyText = key === null ? '' : String(key);
-  // Each part stands behind its length, so that no two lists of parts give the same bytes.
+  // Each part is prefixed with its length, so that different lists of parts never yield the same bytes.
   for (const part of [method, host ?? '', path, keyText, credential]) hash.update(`${part.length}:${part}`);
-  return hash.update(body).digest().subarray(0, KEPT_BYTES).toString('base64url');
+  return hash.update(body).digest().subarray(0, FINGERPRINT_BYTES).toString('base64url');
 }
--- a/src/quarantine/run-answer.ts
+++ b/src/quarantine/run-answer.ts
@@ -1,12 +1,12 @@
-/** What the status of a back end's answer says of the run that it ends. */
+/** Classification of runs by the status code of the back end's answer. */
 
-const FIRST_FAILURE_STATUS = 500;
+const MIN_FAILURE_STATUS = 500;
 
-/** The back end gave up at the deadline, perhaps before it came to the harm. */
+/** The back end gave up at the deadline, possibly before it reached the code that crashes. */
 const DEADLINE_STATUS = 504;
 
-/** Good and failed runs were outlived by the back end; null where the answer shows nothing. */
+/** Returns the outcome of a run that the back end survived; null if the status code is no evidence. */
 export function saysOfRun(statusCode: number): 'good' | 'failed' | null {
-  if (statusCode < FIRST_FAILURE_STATUS) return 'good';
+  if (statusCode < MIN_FAILURE_STATUS) return 'good';
   return statusCode === DEADLINE_STATUS ? null : 'failed';
 }
--- a/src/quarantine/run-permits.ts
+++ b/src/quarantine/run-permits.ts
@@ -1,51 +1,52 @@
 /**
- * Permits to run suspects. The leader gives one at a time for each of them, so that a request that ends what runs it is not
- * tried at two places at once.
+ * Permits to execute suspect requests. The leader grants one permit at a time per request, so that a request that crashes
+ * back ends is never executed at two of them at once.
  */
 import type { Runtime } from '../runtime/runtime.js';
 import type { RunNotice, RunRequest } from './crash-messages.js';
 import type { EndedLife } from './end-reporter.js';
 
-/** Pause before a permit is asked for again, in ms: about as long as a run that has it takes. */
-const ASK_AGAIN_MS = 120;
+/** Interval in ms at which a permit is requested again: about the duration of a run that holds it. */
+const PERMIT_RETRY_INTERVAL_MS = 120;
 
-/** Pause between reports of one request that ended well, in ms. */
-const COMPLETION_REPORT_MS = 200;
+/** Minimum interval in ms between completion reports for one request. */
+const MIN_REPORT_INTERVAL_MS = 200;
 
-/** Fingerprints that are remembered at once. */
-const MOST_REMEMBERED = 512;
+/** Maximum number of fingerprints whose last request or report time is stored; the oldest are evicted first. */
+const MAX_TRACKED_FINGERPRINTS = 512;
 
-/** What the permits need of their daemon. */
+/** Dependencies of `RunPermits`. */
 export interface RunPermitPorts {
   readonly runtime: Runtime;
   readonly send: (request: RunRequest) => boolean;
-  /** Whether a life of a back end is still there to use a permit. */
+  /** Whether an incarnation of a back end is still present to use a permit. */
   readonly isPresent: (life: string) => boolean;
-  /** A permit has come. */
+  /** Called when a permit was granted. */
   readonly onPermit: (fingerprint: string) => void;
 }
 
 /** Permits of one daemon. */
 export class RunPermits {
-  private readonly askedMs = new Map<string, number>();
-  private readonly reportedMs = new Map<string, number>();
-  /** Life for which each permit is held. */
-  private readonly held = new Map<string, string>();
+  private readonly requestedAtMs = new Map<string, number>();
+  private readonly reportedAtMs = new Map<string, number>();
+  /** Incarnation for which each permit is held, by fingerprint. */
+  private readonly incarnationByPermit = new Map<string, string>();
 
   constructor(private readonly ports: RunPermitPorts) {}
 
-  /** Whether a life of a back end may run a request now. */
+  /** Whether an incarnation of a back end holds the permit for a request. */
   holds(fingerprint: string, life: string): boolean {
-    return this.held.get(fingerprint) === life;
+    return this.incarnationByPermit.get(fingerprint) === life;
   }
 
-  /** Asks for a permit, unless that was done a moment ago. */
+  /** Requests a permit, unless it is held or was requested within the retry interval. */
   ask(fingerprint: string, { id, version }: EndedLife): void {
-    if (this.holds(fingerprint, id) || !this.isDue(this.askedMs, fingerprint, ASK_AGAIN_MS)) return;
+    if (this.holds(fingerprint, id) || !this.isDue(this.requestedAtMs, fingerprint, PERMIT_RETRY_INTERVAL_MS))
+      return;
     this.ports.send({ kind: 'run-permit', fingerprint, life: id, version });
   }
 
-  /** Takes an answer of the leader. */
+  /** Handles a message of the leader; a permit for an incarnation that has ended is released unused. */
   receive(notice: RunNotice): void {
     if (notice.kind !== 'run-permitted') return;
     const { fingerprint, life } = notice;
@@ -53,30 +54,30 @@
       this.ports.send({ kind: 'permit-released', fingerprint, life, begun: false });
       return;
     }
-    this.held.set(fingerprint, life);
+    this.incarnationByPermit.set(fingerprint, life);
     this.ports.onPermit(fingerprint);
   }
 
-  /** The permit is given back; `begun`: a run of it may have begun. */
+  /** Releases the permit for a request; `begun` tells whether its run may have begun. */
   release(fingerprint: string, begun: boolean): void {
-    const life = this.held.get(fingerprint);
-    this.held.delete(fingerprint);
-    this.askedMs.delete(fingerprint);
+    const life = this.incarnationByPermit.get(fingerprint);
+    this.incarnationByPermit.delete(fingerprint);
+    this.requestedAtMs.delete(fingerprint);
     if (life !== undefined) this.ports.send({ kind: 'permit-released', fingerprint, life, begun });
   }
 
-  /** A back end has answered a run of a watched request, with a success or a failure, and goes on. */
+  /** Reports that a back end answered a watched request, with a success or a failure, and did not crash. */
   completed(fingerprint: string, version: string, isGood: boolean): void {
-    if (!this.isDue(this.reportedMs, fingerprint, COMPLETION_REPORT_MS)) return;
+    if (!this.isDue(this.reportedAtMs, fingerprint, MIN_REPORT_INTERVAL_MS)) return;
     this.ports.send({ kind: 'run-completed', fingerprint, version, isGood });
   }
 
-  private isDue(times: Map<string, number>, fingerprint: string, pauseMs: number): boolean {
+  private isDue(lastTimes: Map<string, number>, fingerprint: string, intervalMs: number): boolean {
     const nowMs = this.ports.runtime.nowMs();
-    if (nowMs - (times.get(fingerprint) ?? -Infinity) < pauseMs) return false;
-    times.delete(fingerprint);
-    times.set(fingerprint, nowMs);
-    if (times.size > MOST_REMEMBERED) times.delete(times.keys().next().value ?? '');
+    if (nowMs - (lastTimes.get(fingerprint) ?? -Infinity) < intervalMs) return false;
+    lastTimes.delete(fingerprint);
+    lastTimes.set(fingerprint, nowMs);
+    if (lastTimes.size > MAX_TRACKED_FINGERPRINTS) lastTimes.delete(lastTimes.keys().next().value ?? '');
     return true;
   }
 }
--- a/test/quarantine/crash-records.test.ts
+++ b/test/quarantine/crash-records.test.ts
@@ -1,4 +1,4 @@
-/** What ends and good runs say of a request, as a table and for any order of commands. */
+/** Stages of a request after crashes and successful runs: a table of cases, and properties of arbitrary command sequences. */
 import test from 'ava';
 import fc from 'fast-check';
 import {
@@ -7,10 +7,10 @@
   type CrashCommand,
 } from '../../src/quarantine/crash-commands.js';
 import {
-  ENDS_BEFORE_COUNT,
-  endsOf,
+  RUN_LIMIT_CRASH_THRESHOLD,
+  crashCount,
   isWatched,
-  MOST_COUNTED_RUNS,
+  MAX_COUNTED_RUNS,
   stageAt,
   type CrashRecords,
   type CrashStage,
@@ -22,7 +22,7 @@
 
 type Step = CrashCommand | { readonly kind: 'gone'; readonly life: string };
 
-function end(life: string, options: { alone?: boolean; version?: string; runs?: string[] } = {}): Step {
+function crash(life: string, options: { alone?: boolean; version?: string; runs?: string[] } = {}): Step {
   const { alone = false, version = 'v1', runs = [REQUEST] } = options;
   const ended = runs.map((fingerprint) => ({ fingerprint, alone }));
   return { kind: 'record-end', life, service: SERVICE, version, runs: ended };
@@ -36,7 +36,7 @@
   return { kind: 'release-permit', fingerprint: REQUEST, life, begun };
 }
 
-function good(version = 'v1', isGood = true): Step {
+function completion(version = 'v1', isGood = true): Step {
   return { kind: 'record-completion', fingerprint: REQUEST, version, isGood };
 }
 
@@ -44,105 +44,139 @@
   return { kind: 'reopen-request', fingerprint: REQUEST, by };
 }
 
-/** Applies steps; returns which permits were given, in their order. */
-function play(steps: readonly Step[]): { records: CrashRecords; given: string[] } {
+/** Applies steps; returns the records and the incarnations that were granted permits, in order. */
+function applySteps(steps: readonly Step[]): { records: CrashRecords; granted: string[] } {
   const records: CrashRecords = new Map();
-  const given: string[] = [];
+  const granted: string[] = [];
   steps.forEach((step, index) => {
     if (step.kind === 'gone') {
       withdrawPermits(records, new Set([step.life]));
       return;
     }
     const { outcome } = applyCrashCommand(records, step, index + 1);
-    if (step.kind === 'permit-run' && outcome.kind === 'done') given.push(step.life);
+    if (step.kind === 'permit-run' && outcome.kind === 'done') granted.push(step.life);
   });
-  return { records, given };
+  return { records, granted };
 }
 
-const PROVED = [end('a'), end('b'), permit('c'), end('c', { alone: true })];
+const QUARANTINE_STEPS = [crash('a'), crash('b'), permit('c'), crash('c', { alone: true })];
 
 interface Case {
   readonly name: string;
   readonly steps: readonly Step[];
-  /** Stage at version v1, and where it matters at v2. */
+  /** Expected stage at version v1, and optionally at v2. */
   readonly stage: CrashStage;
   readonly stageAtV2?: CrashStage;
 }
 
 const CASES: readonly Case[] = [
-  { name: 'nothing', steps: [], stage: 'free' },
-  { name: 'one end proves nothing', steps: [end('a')], stage: 'free' },
-  { name: 'a report that comes again counts once', steps: [end('a'), end('a'), end('a')], stage: 'free' },
-  { name: 'two ends make a suspect', steps: [end('a'), end('b')], stage: 'suspect' },
-  { name: 'a good run between two ends clears it', steps: [end('a'), good(), end('b')], stage: 'free' },
-  { name: 'a good run clears a suspect', steps: [end('a'), end('b'), good()], stage: 'free' },
+  { name: 'no crash', steps: [], stage: 'free' },
+  { name: 'one crash proves nothing', steps: [crash('a')], stage: 'free' },
+  { name: 'a repeated report counts once', steps: [crash('a'), crash('a'), crash('a')], stage: 'free' },
+  { name: 'two crashes make a suspect', steps: [crash('a'), crash('b')], stage: 'suspect' },
   {
-    name: 'a failure that the back end outlives clears nothing',
-    steps: [end('a'), end('b'), good('v1', false), good('v1', false)],
+    name: 'a successful run between crashes clears the first',
+    steps: [crash('a'), completion(), crash('b')],
+    stage: 'free',
+  },
+  { name: 'a successful run clears a suspect', steps: [crash('a'), crash('b'), completion()], stage: 'free' },
+  {
+    name: 'two failed runs that the back end survives clear nothing',
+    steps: [crash('a'), crash('b'), completion('v1', false), completion('v1', false)],
     stage: 'suspect',
   },
   {
-    name: 'three failures in a row that it outlives clear a suspect',
-    steps: [end('a'), end('b'), good('v1', false), good('v1', false), good('v1', false)],
+    name: 'three consecutive failed runs that it survives clear a suspect',
+    steps: [
+      crash('a'),
+      crash('b'),
+      completion('v1', false),
+      completion('v1', false),
+      completion('v1', false),
+    ],
     stage: 'free',
   },
   {
-    name: 'an end between them begins the row anew',
-    steps: [end('a'), end('b'), good('v1', false), good('v1', false), end('c'), good('v1', false)],
+    name: 'a crash between failed runs restarts their count',
+    steps: [
+      crash('a'),
+      crash('b'),
+      completion('v1', false),
+      completion('v1', false),
+      crash('c'),
+      completion('v1', false),
+    ],
+    stage: 'suspect',
+  },
+  {
+    name: 'any number of crashes while other requests were executed prove nothing',
+    steps: [crash('a'), crash('b'), crash('c'), crash('d'), crash('e')],
     stage: 'suspect',
   },
   {
-    name: 'any number of ends beside others prove nothing',
-    steps: [end('a'), end('b'), end('c'), end('d'), end('e')],
+    name: 'two crashes prove nothing, even when it was executed alone',
+    steps: [crash('a', { alone: true }), crash('b', { alone: true })],
+    stage: 'suspect',
+  },
+  {
+    name: 'a third crash while executed alone is proof',
+    steps: QUARANTINE_STEPS,
+    stage: 'quarantined',
+    stageAtV2: 'suspect',
+  },
+  {
+    name: 'a successful run clears a quarantined request',
+    steps: [...QUARANTINE_STEPS, completion()],
+    stage: 'free',
+  },
+  {
+    name: 'an operator lifts the quarantine',
+    steps: [...QUARANTINE_STEPS, reopen('operator')],
     stage: 'suspect',
   },
   {
-    name: 'two ends prove nothing, even alone',
-    steps: [end('a', { alone: true }), end('b', { alone: true })],
+    name: 'the quarantine is lifted after a period of time',
+    steps: [...QUARANTINE_STEPS, reopen('time')],
     stage: 'suspect',
   },
-  { name: 'the third end, alone, is proof', steps: PROVED, stage: 'quarantined', stageAtV2: 'suspect' },
-  { name: 'a good run clears what was proved', steps: [...PROVED, good()], stage: 'free' },
-  { name: 'an operator reopens it', steps: [...PROVED, reopen('operator')], stage: 'suspect' },
-  { name: 'time reopens it', steps: [...PROVED, reopen('time')], stage: 'suspect' },
   {
-    name: 'what ends a back end again is quarantined again',
-    steps: [...PROVED, reopen('time'), permit('d'), end('d', { alone: true })],
+    name: 'a request that crashes a back end again is quarantined again',
+    steps: [...QUARANTINE_STEPS, reopen('time'), permit('d'), crash('d', { alone: true })],
     stage: 'quarantined',
   },
   {
-    name: 'time does not use the last run',
+    name: 'timed reopening leaves the last run to operators',
     steps: [
-      ...PROVED,
+      ...QUARANTINE_STEPS,
       reopen('time'),
       permit('d'),
-      end('d', { alone: true }),
+      crash('d', { alone: true }),
       reopen('time'),
       permit('e'),
-      end('e', { alone: true }),
+      crash('e', { alone: true }),
       reopen('time'),
     ],
     stage: 'quarantined',
   },
   {
-    name: 'three runs after the third end are all',
+    name: 'no more than three runs are permitted after the third crash',
     steps: [
-      ...PROVED,
-      ...['d', 'e', 'f'].flatMap((life) => [reopen('operator'), permit(life), end(life, { alone: true })]),
+      ...QUARANTINE_STEPS,
+      ...['d', 'e', 'f'].flatMap((life) => [reopen('operator'), permit(life), crash(life, { alone: true })]),
       reopen('operator'),
     ],
     stage: 'quarantined',
     stageAtV2: 'quarantined',
   },
   {
-    name: 'it ends back ends of the new version only',
-    steps: [end('a', { version: 'v2' }), end('b', { version: 'v2' }), good('v1')],
+    name: 'it crashes back ends of the new version only',
+    steps: [crash('a', { version: 'v2' }), crash('b', { version: 'v2' }), completion('v1')],
     stage: 'free',
     stageAtV2: 'suspect',
   },
   {
-    name: 'a repaired version runs it',
-    steps: [...PROVED, permit('d', 'v2'), good('v2')],
+    name: 'a fixed version runs it',
+    steps: [...QUARANTINE_STEPS, permit('d', 'v2'), completion('v2')],
     stage: 'quarantined',
     stageAtV2: 'free',
   },
@@ -150,36 +184,39 @@
 
 for (const { name, steps, stage, stageAtV2 } of CASES) {
   test(`record: ${name}`, (t) => {
-    const record = play(steps).records.get(REQUEST);
+    const record = applySteps(steps).records.get(REQUEST);
     t.is(record === undefined ? 'free' : stageAt(record, 'v1'), stage);
     if (stageAtV2 !== undefined && record !== undefined) t.is(stageAt(record, 'v2'), stageAtV2);
   });
 }
 
-test('one life may run a suspect at a time; the permit ends with its run, its report or its life', (t) => {
-  const suspect = [end('a'), end('b')];
-  t.deepEqual(play([...suspect, permit('c'), permit('d')]).given, ['c']);
-  t.deepEqual(play([...suspect, permit('c'), release('c', true), permit('d')]).given, ['c', 'd']);
-  t.deepEqual(play([...suspect, permit('c'), end('c'), permit('d')]).given, ['c', 'd']);
-  t.deepEqual(play([...suspect, permit('c'), { kind: 'gone', life: 'c' }, permit('d')]).given, ['c', 'd']);
+test('one incarnation at a time may run a suspect; the permit ends with its release, a crash or the incarnation', (t) => {
+  const suspect = [crash('a'), crash('b')];
+  t.deepEqual(applySteps([...suspect, permit('c'), permit('d')]).granted, ['c']);
+  t.deepEqual(applySteps([...suspect, permit('c'), release('c', true), permit('d')]).granted, ['c', 'd']);
+  t.deepEqual(applySteps([...suspect, permit('c'), crash('c'), permit('d')]).granted, ['c', 'd']);
+  t.deepEqual(applySteps([...suspect, permit('c'), { kind: 'gone', life: 'c' }, permit('d')]).granted, [
+    'c',
+    'd',
+  ]);
   t.deepEqual(
-    play([...suspect, permit('c'), permit('c')]).given,
+    applySteps([...suspect, permit('c'), permit('c')]).granted,
     ['c', 'c'],
-    'asking again is answered again',
+    'a repeated request by the holder is granted again',
   );
 });
 
-test('a permit that was not used costs none of the runs that may follow', (t) => {
-  const ambiguous = [end('a'), end('b'), end('c')];
+test('an unused permit does not count as a run', (t) => {
+  const ambiguous = [crash('a'), crash('b'), crash('c')];
   const unused = Array.from({ length: 9 }, () => [permit('d'), release('d', false)]).flat();
-  t.is(play([...ambiguous, ...unused]).records.get(REQUEST)?.countedRuns, 0);
+  t.is(applySteps([...ambiguous, ...unused]).records.get(REQUEST)?.countedRuns, 0);
   const used = Array.from({ length: 9 }, () => [permit('d'), release('d', true)]).flat();
-  t.is(play([...ambiguous, ...used]).given.length, MOST_COUNTED_RUNS);
+  t.is(applySteps([...ambiguous, ...used]).granted.length, MAX_COUNTED_RUNS);
 });
 
-test('what has used all its runs is shown as quarantined, and an operator is told why it is not reopened', (t) => {
+test('a request without runs left is reported as quarantined, and reopening it is rejected with the reason', (t) => {
   const used = ['d', 'e', 'f'].flatMap((at) => [permit(at), release(at, true)]);
-  const { records } = play([end('a'), end('b'), end('c'), ...used]);
+  const { records } = applySteps([crash('a'), crash('b'), crash('c'), ...used]);
   t.like(reportCrashes(records.values())[0], { stage: 'quarantined', runsLeft: 0 });
   const command = { kind: 'reopen-request', fingerprint: REQUEST, by: 'operator' } as const;
   t.deepEqual(applyCrashCommand(records, command, 1).outcome, {
@@ -188,27 +225,27 @@
   });
 });
 
-const LIVES = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'];
+const INCARNATIONS = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'];
 const VERSIONS = ['v1', 'v2'];
-const life = fc.constantFrom(...LIVES);
+const life = fc.constantFrom(...INCARNATIONS);
 const version = fc.constantFrom(...VERSIONS);
 const anyStep: fc.Arbitrary<Step> = fc.oneof(
-  fc.record({ life, version, alone: fc.boolean() }).map(({ life: at, ...options }) => end(at, options)),
+  fc.record({ life, version, alone: fc.boolean() }).map(({ life: at, ...options }) => crash(at, options)),
   fc.record({ life, version }).map(({ life: at, version: of }) => permit(at, of)),
   fc.record({ life, begun: fc.boolean() }).map(({ life: at, begun }) => release(at, begun)),
   life.map((at): Step => ({ kind: 'gone', life: at })),
   fc.constantFrom<Step>(reopen('operator'), reopen('time')),
 );
 
-test('whatever the order: three runs at most are permitted after the third end, one at a time', (t) => {
+test('in any order of commands, at most three runs are permitted after the third crash, one at a time', (t) => {
   fc.assert(
     fc.property(fc.array(anyStep, { maxLength: 60 }), (steps) => {
       const records: CrashRecords = new Map();
-      let begunSince = 0;
+      let countedRuns = 0;
       let holder: string | null = null;
       steps.forEach((step, index) => {
         const before = records.get(REQUEST);
-        const counted = before !== undefined && endsOf(before) >= ENDS_BEFORE_COUNT;
+        const counted = before !== undefined && crashCount(before) >= RUN_LIMIT_CRASH_THRESHOLD;
         if (step.kind === 'gone') {
           withdrawPermits(records, new Set([step.life]));
           if (holder === step.life) holder = null;
@@ -223,48 +260,48 @@
         ) {
           if (stageAt(before, step.version) === 'free') return;
           if (holder !== null && holder !== step.life) throw new Error(`${step.life} beside ${holder}`);
-          if (counted && holder === null) begunSince += 1;
+          if (counted && holder === null) countedRuns += 1;
           holder = step.life;
         }
         const released = step.kind === 'release-permit' && holder === step.life;
-        if (released && !step.begun && counted) begunSince -= 1;
+        if (released && !step.begun && counted) countedRuns -= 1;
         if (released || (step.kind === 'record-end' && holder === step.life)) {
           holder = records.get(REQUEST)?.permittedAt ?? null;
         }
       });
-      return begunSince <= MOST_COUNTED_RUNS;
+      return countedRuns <= MAX_COUNTED_RUNS;
     }),
     { seed: 33, numRuns: 3_000 },
   );
   t.pass();
 });
 
-test('whatever the order: nothing is quarantined without an end of a back end that ran nothing else', (t) => {
+test('in any order of commands, a request is quarantined only if it crashed a back end that executed nothing else', (t) => {
   fc.assert(
     fc.property(fc.array(anyStep, { maxLength: 40 }), (steps) => {
-      const beside = steps.map((step): Step => {
+      const notAlone = steps.map((step): Step => {
         if (step.kind !== 'record-end') return step;
         return { ...step, runs: step.runs.map((run) => ({ ...run, alone: false })) };
       });
-      return play(beside).records.get(REQUEST)?.quarantined !== true;
+      return applySteps(notAlone).records.get(REQUEST)?.quarantined !== true;
     }),
     { seed: 33, numRuns: 1_000 },
   );
   t.pass();
 });
 
-test('whoever ends back ends on purpose: records stay bounded, and what is proved is kept longest', (t) => {
+test('the number of records stays bounded under deliberate crashes, and quarantined requests are evicted last', (t) => {
   const records: CrashRecords = new Map();
   let index = 0;
   const apply = (step: Step): readonly string[] => {
     index += 1;
     return step.kind === 'gone' ? [] : applyCrashCommand(records, step, index).removed;
   };
-  for (const step of PROVED) apply(step);
+  for (const step of QUARANTINE_STEPS) apply(step);
   const removed: string[] = [];
   for (let at = 0; at < 400; at += 1) {
     const runs = Array.from({ length: 18 }, (_, run) => `flood-${at}-${run}`);
-    removed.push(...apply(end(`x${at}`, { runs })), ...apply(end(`y${at}`, { runs })));
+    removed.push(...apply(crash(`x${at}`, { runs })), ...apply(crash(`y${at}`, { runs })));
   }
   const watched = [...records.values()].filter(isWatched);
   t.true(watched.length <= 512);
@@ -272,6 +309,6 @@
   t.true(watched.some(({ fingerprint }) => fingerprint === REQUEST));
   t.true(
     removed.length > 0 && removed.every((fingerprint) => !records.has(fingerprint)),
-    'daemons forget them too',
+    'daemons are told to delete them too',
   );
 });
--- a/test/quarantine/request-fingerprint.test.ts
+++ b/test/quarantine/request-fingerprint.test.ts
@@ -1,4 +1,4 @@
-/** Which requests count as the same. */
+/** Which requests have the same fingerprint. */
 import test from 'ava';
 import { requestFingerprint, type IdentifiedRequest } from '../../src/quarantine/request-fingerprint.js';
 
@@ -12,10 +12,10 @@
 };
 
 const SAME: Readonly<Record<string, Partial<IdentifiedRequest>>> = {
-  'another id': {
+  'another request id': {
     headers: ['host', 'shop.example', 'authorization', 'Bearer one', 'aldertide-request-id', 'b'],
   },
-  'it came in beside another service': {
+  'received at the sidecar of another service': {
     headers: ['Host', 'shop.example', 'Authorization', 'Bearer one', 'Aldertide-Caller', 'ledger'],
   },
 };
@@ -30,11 +30,11 @@
   'no body': { body: Buffer.alloc(0) },
   'another host': { host: 'other.example' },
   'another credential': { headers: ['Host', 'shop.example', 'Authorization', 'Bearer two'] },
-  'bytes that move from the path to the body': {
+  'bytes moved from the path to the body': {
     path: '/orders/7?full=',
     body: Buffer.from('1{"count":1}'),
   },
-  'bytes that move from the method to the path': { method: 'POS', path: 'T/orders/7?full=1' },
+  'bytes moved from the method to the path': { method: 'POS', path: 'T/orders/7?full=1' },
 };
 
 for (const [name, change] of Object.entries(SAME)) {
