--- a/lab/chain/chain-daemon.ts
+++ b/lab/chain/chain-daemon.ts
@@ -289,6 +289,6 @@
     },
     body: () => true,
     end: () => undefined,
-    onRoom: () => undefined,
+    onDrain: () => undefined,
   };
 }
--- a/lab/sim/fleet/fleet-links.ts
+++ b/lab/sim/fleet/fleet-links.ts
@@ -223,7 +223,7 @@
           this.handlers.onEnd();
         });
       },
-      onRoom: (callback) => {
+      onDrain: (callback) => {
         peer.process.schedule(0, callback);
       },
     };
--- a/src/control/control-node.ts
+++ b/src/control/control-node.ts
@@ -26,7 +26,7 @@
 import type { Hello } from '../transport/hello.js';
 import type { CommandOutcome, ControlCommand } from './commands.js';
 import type { ControlState } from './control-state.js';
-import { CrashDuties } from '../quarantine/crash-duties.js';
+import { CrashRecordMaintenance } from '../quarantine/crash-duties.js';
 import { DaemonGateway } from './daemon-gateway.js';
 import { LeaderDuties } from './leader-duties.js';
 import { LeaseTable } from './lease-table.js';
@@ -87,7 +87,7 @@
   private readonly proposals: Proposals;
   private readonly loads = new LoadTable();
   private readonly duties: LeaderDuties;
-  private readonly crashDuties: CrashDuties;
+  private readonly crashDuties: CrashRecordMaintenance;
   private readonly admission: MembershipAdmission;
   private readonly clockSkips: ClockSkips;
   private readonly listener: Listener;
@@ -127,7 +127,7 @@
       this.loads,
       () => runtime.nowMs(),
     );
-    this.crashDuties = new CrashDuties(
+    this.crashDuties = new CrashRecordMaintenance(
       () => this.state.crashRecords,
       (command) => void this.proposals.propose(command),
     );
@@ -368,7 +368,7 @@
     if (this.leadingTerm !== replica.core.term) this.startLeading(replica.core.term);
     this.sessions.expire();
     this.duties.run(this.runtime.nowMs());
-    this.crashDuties.run(this.runtime.nowMs());
+    this.crashDuties.proposeDueCommands(this.runtime.nowMs());
     const { electionTimeoutMs } = this.settings.timing;
     // After a suspension nobody seems to have answered for as long; that says nothing of the others.
     if (!this.clockSkips.lately(electionTimeoutMs)) this.admission.advance(replica, this.runtime.nowMs());
--- a/src/control/state-machine.ts
+++ b/src/control/state-machine.ts
@@ -3,7 +3,7 @@
  * give the same state on every replica. A command that no longer fits the state does nothing.
  */
 import type { ConfigurationDocument, ServiceConfiguration } from '../config/configuration.js';
-import { applyCrashCommand, withdrawPermits, type CrashCommand } from '../quarantine/crash-commands.js';
+import { applyCrashCommand, revokePermitsHeldBy, type CrashCommand } from '../quarantine/crash-commands.js';
 import { emptyShardRow, type ShardRow } from '../model/shard.js';
 import type { Change, ConfigurationChange, ShardChange } from './changes.js';
 import type {
@@ -195,7 +195,7 @@
 /** What is gone runs nothing any more. */
 function endPermits(state: ControlState, closed: readonly Session[]): Change[] {
   const lives = closed.map(({ backend, id }) => sessionLife(backend, id));
-  const changed = withdrawPermits(state.crashRecords, new Set(lives));
+  const changed = revokePermitsHeldBy(state.crashRecords, new Set(lives));
   return changed.length === 0 ? [] : [{ kind: 'crash-records', changed, removed: [] }];
 }
 
--- a/src/directory/directory-machine.ts
+++ b/src/directory/directory-machine.ts
@@ -2,7 +2,7 @@
  * Applies committed commands to the directory's state. Deterministic: the same commands in the same order produce
  * the same state on every replica. A command that no longer applies to the state has no effect.
  */
-import { applyCrashCommand, withdrawPermits, type CrashCommand } from '../quarantine/crash-commands.js';
+import { applyCrashCommand, revokePermitsHeldBy, type CrashCommand } from '../quarantine/crash-commands.js';
 import type { CrashRecord } from '../quarantine/crash-records.js';
 import type {
   AssignRangesCommand,
@@ -87,7 +87,7 @@
 
 /** Revokes the run permits of incarnations that have ended. */
 function revokePermits(state: DirectoryState, instanceIds: readonly string[]): DirectoryChange[] {
-  return crashChanges(withdrawPermits(state.crashRecords, new Set(instanceIds)), []);
+  return crashChanges(revokePermitsHeldBy(state.crashRecords, new Set(instanceIds)), []);
 }
 
 // ---- configuration
--- a/src/directory/directory-metrics.ts
+++ b/src/directory/directory-metrics.ts
@@ -1,5 +1,5 @@
 /** Metrics of a directory replica. */
-import { crashStages } from '../quarantine/crash-report.js';
+import { countCrashRecordsByStage } from '../quarantine/crash-report.js';
 import type { DaemonMetrics } from '../telemetry/daemon-metrics.js';
 import type { DirectoryNode } from './directory-node.js';
 
@@ -22,7 +22,7 @@
   metrics.value('configuration_items', 'Items of the configuration', () => node.state.items.size);
   metrics.value('configuration_revision', 'Version of the whole', () => node.state.revision);
   metrics.family('crash_records', 'Requests under which back ends end, by stage', 'stage', () =>
-    crashStages(node.state.crashRecords.values()),
+    countCrashRecordsByStage(node.state.crashRecords.values()),
   );
   metrics.family('ranges', 'Ranges of keys, by service', 'service', () =>
     [...node.state.ranges].map(([service, ranges]) => [service, ranges.length] as const),
--- a/src/directory/directory-node.ts
+++ b/src/directory/directory-node.ts
@@ -23,7 +23,7 @@
 import { ChangeFeed } from './change-feed.js';
 import type { DirectoryCommand, DirectoryOutcome } from './directory-commands.js';
 import { RangePlanningLoop } from './range-planning-loop.js';
-import { CrashDuties } from '../quarantine/crash-duties.js';
+import { CrashRecordMaintenance } from '../quarantine/crash-duties.js';
 import { DirectoryLeader } from './directory-leader.js';
 import { applyDirectoryCommand } from './directory-machine.js';
 import { directoryRequestSchema, readRelayMessage } from './directory-messages.js';
@@ -83,7 +83,7 @@
   private readonly changes: OperatorChanges;
   private readonly confirmations: LeadershipConfirmations;
   private readonly rangePlanning: RangePlanningLoop;
-  private readonly crashDuties: CrashDuties;
+  private readonly crashDuties: CrashRecordMaintenance;
   private readonly leader: DirectoryLeader;
   private readonly listener: Listener;
   private readonly dialer: ReplicaDialer;
@@ -124,7 +124,7 @@
         this.options.log.event('ranges-planned', { service, ...plan });
       },
     );
-    this.crashDuties = new CrashDuties(
+    this.crashDuties = new CrashRecordMaintenance(
       () => this.currentState.crashRecords,
       (command) => void this.proposals.propose(command),
     );
@@ -421,7 +421,7 @@
     if (!this.durable) return;
     this.leader.expireLeases();
     this.rangePlanning.run(this.options.runtime.nowMs());
-    this.crashDuties.run(this.options.runtime.nowMs());
+    this.crashDuties.proposeDueCommands(this.options.runtime.nowMs());
   }
 
   private startLeading(term: number): void {
--- a/src/link/link-messages.ts
+++ b/src/link/link-messages.ts
@@ -53,7 +53,7 @@
   | 'quarantined';
 
 /** Admission rate of a back end that is warming up; times in ms. */
-export interface ColdStartOutlook {
+export interface ColdStartEstimate {
   /** Time until the next request may be sent. */
   readonly delayMs: number;
   /** Interval between further requests. */
@@ -74,7 +74,7 @@
   /** Time in ms that a large answer waits at the daemon for the network link. */
   readonly sendWaitMs: number;
   /** Null while as many requests may be sent to the back end as it has slots. */
-  readonly coldStart: ColdStartOutlook | null;
+  readonly coldStart: ColdStartEstimate | null;
   /** Current and mean service time as a multiple of the normal one; 1 if the back end does not report it. */
   readonly pace: number;
   readonly meanPace: number;
--- a/src/link/link-pacer.ts
+++ b/src/link/link-pacer.ts
@@ -29,7 +29,7 @@
  * Size in bytes from which on frames are paced. Smaller ones are control frames and refusals, which must never wait.
  * Answers of a few KB must be paced too, since many of them saturate a slow link just as large ones do.
  */
-export const PACED_FRAME_BYTES = policyIsOn('small-answers-paced') ? 2 * 1024 : 12 * 1024;
+export const MIN_PACED_FRAME_BYTES = policyIsOn('small-answers-paced') ? 2 * 1024 : 12 * 1024;
 
 /** A frame that is sent in slices. */
 export interface PacedFrame {
--- a/src/link/link-server.ts
+++ b/src/link/link-server.ts
@@ -15,11 +15,11 @@
   refuse(head: RefusalHead): void;
   fail(head: FailureHead): void;
   answer(head: AnswerHead, body: Buffer): void;
-  /** Sends a further part of the body; false if sending should pause until `onRoom` calls back. */
+  /** Sends a further part of the body; false if sending should pause until `onDrain` calls back. */
   body(chunk: Buffer): boolean;
   end(): void;
   /** Calls back once, when more of the body may be sent. */
-  onRoom(callback: () => void): void;
+  onDrain(callback: () => void): void;
 }
 
 /** Handle by which the server cancels a request. */
@@ -31,7 +31,7 @@
 }
 
 /** Handler of received requests; returns the handle by which the request is cancelled. */
-export type TakeRequest = (head: RequestHead, body: Buffer, reply: RequestReply) => AcceptedRequest;
+export type AcceptRequest = (head: RequestHead, body: Buffer, reply: RequestReply) => AcceptedRequest;
 
 /** TCP server for the links of peer daemons. */
 export class LinkServer {
@@ -41,7 +41,7 @@
   constructor(
     private readonly nowMs: () => number,
     private readonly life: string,
-    private readonly takeRequest: TakeRequest,
+    private readonly acceptRequest: AcceptRequest,
     /** Returns the load of the back end, for probes; null while it is unknown. */
     private readonly status: () => StatusHead | null,
     /** Paces answers on a slow network link; null if the link is fast. */
@@ -103,7 +103,7 @@
         requests.delete(frame.stream);
       };
       const reply = makeReply(connection, frame.stream, removeRequest);
-      const accepted = this.takeRequest(frame.head as RequestHead, frame.body, reply.port);
+      const accepted = this.acceptRequest(frame.head as RequestHead, frame.body, reply.port);
       if (!reply.finished()) requests.set(frame.stream, accepted);
       return;
     }
@@ -151,7 +151,7 @@
       finish();
       connection.send(FRAME_KIND.end, stream, undefined);
     },
-    onRoom(callback) {
+    onDrain(callback) {
       connection.onDrain(callback);
     },
   };
--- a/src/link/paced-frames.ts
+++ b/src/link/paced-frames.ts
@@ -4,7 +4,7 @@
  * its writing has begun.
  */
 import type { LinkPacer, PacedFrame } from './link-pacer.js';
-import { PACED_FRAME_BYTES } from './link-pacer.js';
+import { MIN_PACED_FRAME_BYTES } from './link-pacer.js';
 
 /** A frame in the send queue. */
 interface WaitingFrame extends PacedFrame {
@@ -30,7 +30,7 @@
   send(stream: number, start: Buffer, body: Buffer): void {
     const bytes = start.length + body.length;
     const streamIsQueued = this.waiting.some((frame) => frame.stream === stream);
-    if (bytes >= PACED_FRAME_BYTES || streamIsQueued) {
+    if (bytes >= MIN_PACED_FRAME_BYTES || streamIsQueued) {
       this.queue(stream, body.length === 0 ? start : Buffer.concat([start, body]));
       return;
     }
--- a/src/quarantine/crash-commands.ts
+++ b/src/quarantine/crash-commands.ts
@@ -25,7 +25,7 @@
 const RUNS_RESERVED_FOR_OPERATORS = 1;
 
 /** A request that was being executed when its back end crashed. */
-export interface EndedRun {
+export interface CrashedRun {
   readonly fingerprint: string;
   /** Whether the back end executed no other request. */
   readonly alone: boolean;
@@ -38,7 +38,7 @@
   readonly life: string;
   readonly service: string;
   readonly version: string;
-  readonly runs: readonly EndedRun[];
+  readonly runs: readonly CrashedRun[];
 }
 
 /** Records that a back end answered a watched request and did not crash. */
@@ -89,7 +89,7 @@
   | ForgetRequestCommand;
 
 /** Result of applying a command. */
-export interface AppliedCrashCommand {
+export interface CrashCommandResult {
   readonly outcome: { readonly kind: 'done' } | { readonly kind: 'invalid'; readonly detail: string };
   /** Changed records that are to be sent to daemons. */
   readonly changed: readonly CrashRecord[];
@@ -97,14 +97,14 @@
   readonly removed: readonly string[];
 }
 
-const NO_CHANGE: AppliedCrashCommand = { outcome: { kind: 'done' }, changed: [], removed: [] };
+const NO_CHANGE: CrashCommandResult = { outcome: { kind: 'done' }, changed: [], removed: [] };
 
 /** Applies a command that was committed at log index `index`. */
 export function applyCrashCommand(
   records: CrashRecords,
   command: CrashCommand,
   index: number,
-): AppliedCrashCommand {
+): CrashCommandResult {
   switch (command.kind) {
     case 'record-end':
       return recordCrash(records, command, index);
@@ -122,10 +122,13 @@
 }
 
 /** Revokes the permits of incarnations that have ended; returns the changed records. */
-export function withdrawPermits(records: CrashRecords, lives: ReadonlySet<string>): readonly CrashRecord[] {
+export function revokePermitsHeldBy(
+  records: CrashRecords,
+  endedIncarnations: ReadonlySet<string>,
+): readonly CrashRecord[] {
   const changed: CrashRecord[] = [];
   for (const record of records.values()) {
-    if (record.permittedAt === null || !lives.has(record.permittedAt)) continue;
+    if (record.permittedAt === null || !endedIncarnations.has(record.permittedAt)) continue;
     const next = { ...record, permittedAt: null };
     records.set(record.fingerprint, next);
     changed.push(next);
@@ -133,7 +136,7 @@
   return changed;
 }
 
-function recordCrash(records: CrashRecords, command: RecordEndCommand, index: number): AppliedCrashCommand {
+function recordCrash(records: CrashRecords, command: RecordEndCommand, index: number): CrashCommandResult {
   const { life, service, version, runs } = command;
   const changed: CrashRecord[] = [];
   for (const { fingerprint, alone } of runs) {
@@ -151,7 +154,7 @@
   return { outcome: { kind: 'done' }, changed, removed };
 }
 
-function recordCompletion(records: CrashRecords, command: RecordCompletionCommand): AppliedCrashCommand {
+function recordCompletion(records: CrashRecords, command: RecordCompletionCommand): CrashCommandResult {
   const known = records.get(command.fingerprint);
   if (known === undefined) return NO_CHANGE;
   const next = command.isGood ? withCompletion(known, command.version) : withFailure(known, command.version);
@@ -165,7 +168,7 @@
     : { ...NO_CHANGE, removed: [command.fingerprint] };
 }
 
-function permitRun(records: CrashRecords, command: PermitRunCommand): AppliedCrashCommand {
+function permitRun(records: CrashRecords, command: PermitRunCommand): CrashCommandResult {
   const { fingerprint, life, version } = command;
   const known = records.get(fingerprint);
   if (known === undefined || stageAt(known, version) === 'free') return NO_CHANGE;
@@ -178,7 +181,7 @@
   return { ...NO_CHANGE, changed: [next] };
 }
 
-function releasePermit(records: CrashRecords, command: ReleasePermitCommand): AppliedCrashCommand {
+function releasePermit(records: CrashRecords, command: ReleasePermitCommand): CrashCommandResult {
   const { fingerprint, life, begun } = command;
   const known = records.get(fingerprint);
   if (known?.permittedAt !== life) return NO_CHANGE;
@@ -188,10 +191,7 @@
   return { ...NO_CHANGE, changed: [next] };
 }
 
-function reopenRequest(
-  records: CrashRecords,
-  { fingerprint, by }: ReopenRequestCommand,
-): AppliedCrashCommand {
+function reopenRequest(records: CrashRecords, { fingerprint, by }: ReopenRequestCommand): CrashCommandResult {
   const known = records.get(fingerprint);
   const reservedRuns = by === 'operator' ? 0 : RUNS_RESERVED_FOR_OPERATORS;
   if (known !== undefined && (isExhausted(known) || known.countedRuns >= MAX_COUNTED_RUNS - reservedRuns)) {
@@ -203,12 +203,12 @@
   return { ...NO_CHANGE, changed: [next] };
 }
 
-function forgetRequest(records: CrashRecords, { fingerprint }: ForgetRequestCommand): AppliedCrashCommand {
+function forgetRequest(records: CrashRecords, { fingerprint }: ForgetRequestCommand): CrashCommandResult {
   if (!records.delete(fingerprint)) return invalid('nothing is known of such a request');
   return { ...NO_CHANGE, removed: [fingerprint] };
 }
 
-function invalid(detail: string): AppliedCrashCommand {
+function invalid(detail: string): CrashCommandResult {
   return { ...NO_CHANGE, outcome: { kind: 'invalid', detail } };
 }
 
--- a/src/quarantine/crash-duties.ts
+++ b/src/quarantine/crash-duties.ts
@@ -16,11 +16,8 @@
 const FIRST_REOPEN_DELAY_MS = 10 * 60 * 1_000;
 const REOPEN_FACTOR = 6;
 
-/**
- * Tasks of one leader. Periods are measured on the leader's own clock and start anew with each leader, since clocks of
- * different replicas cannot be compared.
- */
-export class CrashDuties {
+/** Tasks of one leader. Periods are measured on the leader's own clock, in ms, from the time it became leader at the earliest. */
+export class CrashRecordMaintenance {
   private readonly permitSeenAtMs = new Map<string, number>();
   private readonly quarantineSeenAtMs = new Map<string, number>();
 
@@ -36,7 +33,7 @@
   }
 
   /** Proposes the commands that are due. */
-  run(nowMs: number): void {
+  proposeDueCommands(nowMs: number): void {
     const records = this.records();
     if (records.size === 0 && this.permitSeenAtMs.size + this.quarantineSeenAtMs.size === 0) return;
     deleteOutdated(this.permitSeenAtMs, (key) => isPermitted(records, key));
--- a/src/quarantine/crash-report.ts
+++ b/src/quarantine/crash-report.ts
@@ -39,7 +39,9 @@
 }
 
 /** Returns the number of watched requests per stage, for metrics. */
-export function crashStages(records: Iterable<CrashRecord>): readonly (readonly [string, number])[] {
+export function countCrashRecordsByStage(
+  records: Iterable<CrashRecord>,
+): readonly (readonly [string, number])[] {
   const reports = reportCrashes(records);
   const quarantined = reports.filter(({ stage }) => stage === 'quarantined').length;
   return [
--- a/src/quarantine/end-reporter.ts
+++ b/src/quarantine/end-reporter.ts
@@ -3,7 +3,7 @@
  * until it is recorded. Callers are answered only afterwards, so that a retry of the request that caused the crash reaches
  * daemons that know of it.
  */
-import type { EndedRun } from './crash-commands.js';
+import type { CrashedRun } from './crash-commands.js';
 import type { RunNotice, RunRequest } from './crash-messages.js';
 import { pause } from '../runtime/pause.js';
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
@@ -25,23 +25,26 @@
 /** Time in ms within which all connections of a crashed back end break; 2 ms were observed. */
 const CONNECTION_SETTLE_MS = 15;
 
-/** Maximum age in ms of interrupted runs that count as evidence of a crash when a new incarnation appears. */
+/**
+ * Maximum age in ms of interrupted runs that count as evidence of a crash when a new incarnation appears without a refused
+ * connection in between.
+ */
 const MAX_INTERRUPTION_AGE_MS = 10_000;
 
 /** Incarnation of a back end. */
-export interface EndedLife {
+export interface BackendIncarnation {
   readonly id: string;
   readonly service: string;
   readonly version: string;
 }
 
 /** Dependencies of a reporter. */
-export interface EndReporterPorts {
+export interface CrashReporterPorts {
   readonly runtime: Runtime;
   readonly log: { event(name: string, fields: EventFields): void };
   readonly interrupted: InterruptedRuns;
   /** Returns the current incarnation of the back end; null if there is none or it is draining. */
-  readonly life: () => EndedLife | null;
+  readonly life: () => BackendIncarnation | null;
   /** Checks whether any process listens at the back end's address. */
   readonly listens: () => Promise<boolean>;
   readonly send: (request: RunRequest) => boolean;
@@ -49,15 +52,15 @@
 
 interface PendingReport {
   readonly token: number;
-  readonly life: EndedLife;
-  readonly runs: readonly EndedRun[];
+  readonly life: BackendIncarnation;
+  readonly runs: readonly CrashedRun[];
   attempts: number;
   cancelTimer: CancelTimer;
   readonly done: () => void;
 }
 
 /** Crash detection and reports of one daemon. */
-export class EndReporter {
+export class CrashReporter {
   /** Number of crashes detected. */
   ends = 0;
   private readonly pendingReports = new Map<number, PendingReport>();
@@ -65,26 +68,26 @@
   private checkInFlight: Promise<void> | null = null;
   private lastCrashedId: string | null = null;
 
-  constructor(private readonly ports: EndReporterPorts) {}
+  constructor(private readonly ports: CrashReporterPorts) {}
 
   /**
    * Handles an interrupted run: resolves once the back end was found to be listening, its crash was recorded, or the maximum
    * delay has passed.
    */
-  async runBroke(): Promise<void> {
+  async handleInterruptedRun(): Promise<void> {
     this.checkInFlight ??= this.checkBackend();
     const { checkInFlight } = this;
     await Promise.race([checkInFlight, pause(this.ports.runtime, MAX_HOLD_MS)]);
   }
 
   /** Handles the appearance of a new incarnation when no refused connection has revealed the end of the previous one. */
-  lifeReplaced(life: EndedLife): void {
-    const runs = this.ports.interrupted.take(this.ports.runtime.nowMs() - MAX_INTERRUPTION_AGE_MS);
-    if (runs.length > 0) void this.report(life, runs);
+  handleNewIncarnation(previous: BackendIncarnation): void {
+    const runs = this.ports.interrupted.takeCrashRuns(this.ports.runtime.nowMs() - MAX_INTERRUPTION_AGE_MS);
+    if (runs.length > 0) void this.report(previous, runs);
   }
 
   /** Handles a message of the leader. */
-  receive(notice: RunNotice): void {
+  handleNotice(notice: RunNotice): void {
     if (notice.kind !== 'end-recorded') return;
     const report = this.pendingReports.get(notice.token);
     if (report !== undefined) this.finish(report);
@@ -101,11 +104,11 @@
     if (!listens) await pause(this.ports.runtime, CONNECTION_SETTLE_MS);
     this.checkInFlight = null;
     if (listens) return;
-    const runs = this.ports.interrupted.take(-Infinity);
+    const runs = this.ports.interrupted.takeCrashRuns(-Infinity);
     if (runs.length > 0) await this.report(life, runs);
   }
 
-  private async report(life: EndedLife, runs: readonly InterruptedRun[]): Promise<void> {
+  private async report(life: BackendIncarnation, runs: readonly InterruptedRun[]): Promise<void> {
     if (this.lastCrashedId !== life.id) this.ends += 1;
     this.lastCrashedId = life.id;
     this.ports.log.event('backend-ended', { instance: life.id, version: life.version, runs });
@@ -142,7 +145,7 @@
 }
 
 /** Returns one entry per fingerprint. A run was alone only if it is also the only interrupted one. */
-function toCrashedRuns(runs: readonly InterruptedRun[]): EndedRun[] {
+function toCrashedRuns(runs: readonly InterruptedRun[]): CrashedRun[] {
   const isOnlyRun = runs.length === 1;
   const byFingerprint = new Map(runs.map((run) => [run.fingerprint, run]));
   return [...byFingerprint.values()].map(({ fingerprint, alone }) => ({
--- a/src/quarantine/interrupted-runs.ts
+++ b/src/quarantine/interrupted-runs.ts
@@ -2,6 +2,7 @@
  * Recent runs at one incarnation of a back end that ended without an answer. If the back end turns out to have crashed,
  * they are the runs that were in flight during the crash.
  */
+
 /**
  * Time in ms for which a run that this daemon cancelled may still be executed by the back end: the network latency plus the
  * time until the back end notices the closed connection.
@@ -32,12 +33,12 @@
   private runs: InterruptedRun[] = [];
 
   /** Records a run that ended without an answer. */
-  note(run: InterruptedRun): void {
+  add(run: InterruptedRun): void {
     this.runs = [...this.runs, run].slice(-MAX_STORED_RUNS);
   }
 
   /** Handles an answer of the back end: it is live, so the runs interrupted earlier did not crash it and are discarded. */
-  backendAnswered(nowMs: number): void {
+  handleAnswer(nowMs: number): void {
     if (this.runs.length > 0)
       this.runs = this.runs.filter(({ endedMs }) => endedMs > nowMs - ANSWER_DELAY_TOLERANCE_MS);
   }
@@ -46,7 +47,7 @@
    * Removes all runs and returns those that were in flight during the crash, provided that the back end closed a connection
    * at `sinceMs` or later. Without such a connection there is no evidence of a crash, and none is returned.
    */
-  take(sinceMs: number): readonly InterruptedRun[] {
+  takeCrashRuns(sinceMs: number): readonly InterruptedRun[] {
     const lastBreakMs = this.runs.findLast(({ byBackend }) => byBackend)?.endedMs ?? -Infinity;
     const crashRuns = this.runs.filter(
       ({ endedMs }) => Math.abs(endedMs - lastBreakMs) <= CANCELLED_RUN_LINGER_MS,
--- a/src/quarantine/quarantine-view.ts
+++ b/src/quarantine/quarantine-view.ts
@@ -1,16 +1,16 @@
 /** A daemon's copy of the watched crash records, by which it classifies requests. */
 import { stageAt, type CrashRecord, type CrashRecords, type CrashStage } from './crash-records.js';
-import { fingerprintOf, type IdentifiedRequest } from './request-fingerprint.js';
+import { cachedFingerprint, type IdentifiedRequest } from './request-fingerprint.js';
 
 /** Classification of a request. */
-export interface Judged {
+export interface RequestClassification {
   readonly stage: CrashStage;
   /** Null while there are no records, when fingerprints are not computed. */
   readonly fingerprint: string | null;
   readonly record: CrashRecord | null;
 }
 
-const UNCLASSIFIED: Judged = { stage: 'free', fingerprint: null, record: null };
+const UNCLASSIFIED: RequestClassification = { stage: 'free', fingerprint: null, record: null };
 
 /** Local copy of the watched crash records. */
 export class QuarantineView {
@@ -38,17 +38,17 @@
   }
 
   /** Classifies a request for back ends of a version. Computes no fingerprint while there are no records. */
-  judge(request: IdentifiedRequest, version: string): Judged {
+  classify(request: IdentifiedRequest, version: string): RequestClassification {
     if (this.records.size === 0) return UNCLASSIFIED;
-    const fingerprint = fingerprintOf(request);
+    const fingerprint = cachedFingerprint(request);
     const record = this.records.get(fingerprint) ?? null;
     return { stage: record === null ? 'free' : stageAt(record, version), fingerprint, record };
   }
 
   /** Returns the fingerprint of a request that is quarantined at all of these versions; null if any of them may run it. */
-  refusedEverywhere(request: IdentifiedRequest, versions: () => ReadonlySet<string>): string | null {
+  fingerprintIfQuarantined(request: IdentifiedRequest, versions: () => ReadonlySet<string>): string | null {
     if (this.records.size === 0) return null;
-    const fingerprint = fingerprintOf(request);
+    const fingerprint = cachedFingerprint(request);
     const record = this.records.get(fingerprint);
     if (record === undefined) return null;
     const present = [...versions()];
--- a/src/quarantine/request-fingerprint.ts
+++ b/src/quarantine/request-fingerprint.ts
@@ -28,7 +28,7 @@
 const fingerprintCache = new WeakMap<IdentifiedRequest, string>();
 
 /** Returns the fingerprint of a request, cached per request object. */
-export function fingerprintOf(request: IdentifiedRequest): string {
+export function cachedFingerprint(request: IdentifiedRequest): string {
   const fingerprint = fingerprintCache.get(request) ?? requestFingerprint(request);
   fingerprintCache.set(request, fingerprint);
   return fingerprint;
--- a/src/quarantine/run-answer.ts
+++ b/src/quarantine/run-answer.ts
@@ -6,7 +6,7 @@
 const DEADLINE_STATUS = 504;
 
 /** Returns the outcome of a run that the back end survived; null if the status code is no evidence. */
-export function saysOfRun(statusCode: number): 'good' | 'failed' | null {
+export function runOutcomeOf(statusCode: number): 'good' | 'failed' | null {
   if (statusCode < MIN_FAILURE_STATUS) return 'good';
   return statusCode === DEADLINE_STATUS ? null : 'failed';
 }
--- a/src/quarantine/run-permits.ts
+++ b/src/quarantine/run-permits.ts
@@ -4,7 +4,7 @@
  */
 import type { Runtime } from '../runtime/runtime.js';
 import type { RunNotice, RunRequest } from './crash-messages.js';
-import type { EndedLife } from './end-reporter.js';
+import type { BackendIncarnation } from './end-reporter.js';
 
 /** Interval in ms at which a permit is requested again: about the duration of a run that holds it. */
 const PERMIT_RETRY_INTERVAL_MS = 120;
@@ -40,14 +40,14 @@
   }
 
   /** Requests a permit, unless it is held or was requested within the retry interval. */
-  ask(fingerprint: string, { id, version }: EndedLife): void {
+  requestPermit(fingerprint: string, { id, version }: BackendIncarnation): void {
     if (this.holds(fingerprint, id) || !this.isDue(this.requestedAtMs, fingerprint, PERMIT_RETRY_INTERVAL_MS))
       return;
     this.ports.send({ kind: 'run-permit', fingerprint, life: id, version });
   }
 
   /** Handles a message of the leader; a permit for an incarnation that has ended is released unused. */
-  receive(notice: RunNotice): void {
+  handleNotice(notice: RunNotice): void {
     if (notice.kind !== 'run-permitted') return;
     const { fingerprint, life } = notice;
     if (!this.ports.isPresent(life)) {
@@ -67,7 +67,7 @@
   }
 
   /** Reports that a back end answered a watched request, with a success or a failure, and did not crash. */
-  completed(fingerprint: string, version: string, isGood: boolean): void {
+  reportCompletion(fingerprint: string, version: string, isGood: boolean): void {
     if (!this.isDue(this.reportedAtMs, fingerprint, MIN_REPORT_INTERVAL_MS)) return;
     this.ports.send({ kind: 'run-completed', fingerprint, version, isGood });
   }
--- a/src/router/run-guard.ts
+++ b/src/router/run-guard.ts
@@ -6,10 +6,10 @@
 import { sessionLife } from '../control/control-state.js';
 import type { SocketAddress } from '../model/socket-address.js';
 import type { RunNotice, RunRequest } from '../quarantine/crash-messages.js';
-import { EndReporter, type EndedLife } from '../quarantine/end-reporter.js';
+import { CrashReporter, type BackendIncarnation } from '../quarantine/end-reporter.js';
 import { InterruptedRuns } from '../quarantine/interrupted-runs.js';
-import type { Judged, QuarantineView } from '../quarantine/quarantine-view.js';
-import { saysOfRun } from '../quarantine/run-answer.js';
+import type { RequestClassification, QuarantineView } from '../quarantine/quarantine-view.js';
+import { runOutcomeOf } from '../quarantine/run-answer.js';
 import { requestFingerprint, type IdentifiedRequest } from '../quarantine/request-fingerprint.js';
 import { RunPermits } from '../quarantine/run-permits.js';
 import { pause } from '../runtime/pause.js';
@@ -62,7 +62,7 @@
 
 interface Watched {
   readonly interrupted: InterruptedRuns;
-  readonly reporter: EndReporter;
+  readonly reporter: CrashReporter;
 }
 
 /** The guard of one router. */
@@ -82,8 +82,8 @@
   }
 
   /** What holds for a request. */
-  judge(request: IdentifiedRequest): Judged {
-    return this.ports.quarantine.judge(request, NO_VERSION);
+  judge(request: IdentifiedRequest): RequestClassification {
+    return this.ports.quarantine.classify(request, NO_VERSION);
   }
 
   /** Waits until a request may run at a back end, as long as it is treated as a suspect. */
@@ -99,18 +99,18 @@
         this.running.add(fingerprint);
         return { kind: 'permitted', fingerprint };
       }
-      this.permits.ask(fingerprint, life);
+      this.permits.requestPermit(fingerprint, life);
       await pause(this.ports.runtime, PERMIT_LOOK_MS);
     }
   }
 
   /** A run has ended with an answer of the back end. */
   answered(run: GuardedRun, backend: GuardedBackend, statusCode: number): void {
-    this.watched(backend).interrupted.backendAnswered(this.ports.runtime.nowMs());
+    this.watched(backend).interrupted.handleAnswer(this.ports.runtime.nowMs());
     const { fingerprint, record } = this.judge(run.request);
-    const says = saysOfRun(statusCode);
+    const says = runOutcomeOf(statusCode);
     if (says !== null && record !== null && fingerprint !== null) {
-      this.permits.completed(fingerprint, NO_VERSION, says === 'good');
+      this.permits.reportCompletion(fingerprint, NO_VERSION, says === 'good');
     }
     this.giveBack(run.clearance, true);
   }
@@ -122,8 +122,8 @@
     const fingerprint = requestFingerprint(run.request);
     const { requestId, startedMs, alone } = run;
     const usedMs = Math.round(endedMs - startedMs);
-    interrupted.note({ requestId, fingerprint, byBackend: true, alone, endedMs, usedMs });
-    await reporter.runBroke();
+    interrupted.add({ requestId, fingerprint, byBackend: true, alone, endedMs, usedMs });
+    await reporter.handleInterruptedRun();
     this.giveBack(run.clearance, true);
   }
 
@@ -136,15 +136,15 @@
 
   /** Takes an answer of control. */
   receive(notice: RunNotice): void {
-    this.permits.receive(notice);
-    for (const { reporter } of this.backends.values()) reporter.receive(notice);
+    this.permits.handleNotice(notice);
+    for (const { reporter } of this.backends.values()) reporter.handleNotice(notice);
   }
 
   private watched(backend: GuardedBackend): Watched {
     const known = this.backends.get(backend.name);
     if (known !== undefined) return known;
     const interrupted = new InterruptedRuns();
-    const reporter = new EndReporter({
+    const reporter = new CrashReporter({
       runtime: this.ports.runtime,
       log: {
         event: (name, fields) => {
@@ -161,7 +161,7 @@
     return watched;
   }
 
-  private lifeOf({ name, service }: GuardedBackend): EndedLife | null {
+  private lifeOf({ name, service }: GuardedBackend): BackendIncarnation | null {
     const session = this.ports.sessionOf(name);
     return session === null ? null : { id: sessionLife(name, session), service, version: NO_VERSION };
   }
--- a/src/sidecar/backend-chooser.ts
+++ b/src/sidecar/backend-chooser.ts
@@ -1,7 +1,7 @@
 /** Chooses the back end for an attempt, by key or by expected time. */
 import { rangeOf } from '../directory/key-ranges.js';
 import type { BackendInstance } from '../directory/directory-state.js';
-import { PACED_FRAME_BYTES } from '../link/link-pacer.js';
+import { MIN_PACED_FRAME_BYTES } from '../link/link-pacer.js';
 import { policyIsOn } from '../policy-switches.js';
 import type { BackendView } from './backend-view.js';
 import type { DirectoryTable } from './directory-table.js';
@@ -175,7 +175,7 @@
     nowMs: number,
   ): number {
     if (daemonAddress === this.ports.daemonAddress) return 0;
-    const waitMs = answerBytes < PACED_FRAME_BYTES ? 0 : view.sendWaitMs(nowMs);
+    const waitMs = answerBytes < MIN_PACED_FRAME_BYTES ? 0 : view.sendWaitMs(nowMs);
     return waitMs + answerBytes / this.ports.linkBytesPerMs;
   }
 }
--- a/src/sidecar/caller-requests.ts
+++ b/src/sidecar/caller-requests.ts
@@ -80,7 +80,7 @@
   private quarantineOf(request: CallerRequest): string | null {
     const { table } = this.ports;
     const identified = { ...request, host: headerValue(request.headers, 'host') };
-    return table.quarantine.refusedEverywhere(identified, () => table.versionsOf(request.service));
+    return table.quarantine.fingerprintIfQuarantined(identified, () => table.versionsOf(request.service));
   }
 
   /** The table has changed; requests may wait for that. */
--- a/src/sidecar/cold-start-limit.ts
+++ b/src/sidecar/cold-start-limit.ts
@@ -3,7 +3,7 @@
  * than it bears fails and starts cold once more. Pure: every call brings the time.
  */
 import type { ColdStart } from '../directory/directory-state.js';
-import type { ColdStartOutlook } from '../link/link-messages.js';
+import type { ColdStartEstimate } from '../link/link-messages.js';
 
 /** Length in ms of the window in which requests are counted. */
 const WINDOW_MS = 1_000;
@@ -96,7 +96,7 @@
   }
 
   /** How soon further requests are taken; null while nothing is limited. */
-  outlook(nowMs: number): ColdStartOutlook | null {
+  outlook(nowMs: number): ColdStartEstimate | null {
     if (!this.isCold(nowMs)) return null;
     const leftMs = Math.max(0, this.coldUntilMs - nowMs);
     const assumedMs = this.unconfirmed > 0 ? (this.coldStart?.durationMs ?? 0) : 0;
--- a/src/sidecar/crash-guard.ts
+++ b/src/sidecar/crash-guard.ts
@@ -1,6 +1,6 @@
 /** What a gateway must know of requests under which back ends have ended, and whom it tells what it saw. */
 import type { InterruptedRun } from '../quarantine/interrupted-runs.js';
-import type { Judged } from '../quarantine/quarantine-view.js';
+import type { RequestClassification } from '../quarantine/quarantine-view.js';
 import type { IdentifiedRequest } from '../quarantine/request-fingerprint.js';
 import type { SuspectPermits } from './suspect-runs.js';
 
@@ -8,7 +8,7 @@
 export interface CrashGuard {
   readonly permits: SuspectPermits;
   /** What holds for a request at the present back end. */
-  judge(request: IdentifiedRequest): Judged;
+  judge(request: IdentifiedRequest): RequestClassification;
   /** A back end answered a run; told for every run, so that it has to cost nothing while there are no records. */
   answered(request: IdentifiedRequest, statusCode: number): void;
   /** The back end does not know itself as the one that a request was meant for, or does not hold its key. */
--- a/src/sidecar/crash-watch.ts
+++ b/src/sidecar/crash-watch.ts
@@ -1,10 +1,10 @@
 /** The guard of a sidecar: joins its table, its directory and the back end beside it. */
 import type { DirectoryNotice, DirectoryRequest } from '../directory/directory-messages.js';
-import { EndReporter, type EndedLife } from '../quarantine/end-reporter.js';
+import { CrashReporter, type BackendIncarnation } from '../quarantine/end-reporter.js';
 import { InterruptedRuns, type InterruptedRun } from '../quarantine/interrupted-runs.js';
-import type { Judged, QuarantineView } from '../quarantine/quarantine-view.js';
+import type { RequestClassification, QuarantineView } from '../quarantine/quarantine-view.js';
 import type { IdentifiedRequest } from '../quarantine/request-fingerprint.js';
-import { saysOfRun } from '../quarantine/run-answer.js';
+import { runOutcomeOf } from '../quarantine/run-answer.js';
 import { RunPermits } from '../quarantine/run-permits.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { EventLog } from '../telemetry/event-log.js';
@@ -17,7 +17,7 @@
   readonly log: EventLog;
   readonly quarantine: QuarantineView;
   /** The life of the back end, as long as it does not leave and this daemon does not stop. */
-  readonly life: () => EndedLife | null;
+  readonly life: () => BackendIncarnation | null;
   /** Asks whether any process listens at the back end's address. */
   readonly listens: () => Promise<boolean>;
   readonly send: (request: DirectoryRequest) => boolean;
@@ -31,12 +31,12 @@
 export class CrashWatch implements CrashGuard {
   readonly permits: SuspectPermits;
   private readonly runs = new InterruptedRuns();
-  private readonly reporter: EndReporter;
+  private readonly reporter: CrashReporter;
   private readonly runPermits: RunPermits;
 
   constructor(private readonly ports: CrashWatchPorts) {
     const { runtime, log, life, listens, send, onPermit } = ports;
-    this.reporter = new EndReporter({ runtime, log, interrupted: this.runs, life, listens, send });
+    this.reporter = new CrashReporter({ runtime, log, interrupted: this.runs, life, listens, send });
     const isPresent = (id: string): boolean => life()?.id === id;
     this.runPermits = new RunPermits({ runtime, send, isPresent, onPermit });
     this.permits = this.makePermits();
@@ -48,17 +48,17 @@
   }
 
   /** See `CrashGuard`. */
-  judge(request: IdentifiedRequest): Judged {
-    return this.ports.quarantine.judge(request, this.version);
+  judge(request: IdentifiedRequest): RequestClassification {
+    return this.ports.quarantine.classify(request, this.version);
   }
 
   /** See `CrashGuard`. */
   answered(request: IdentifiedRequest, statusCode: number): void {
-    this.runs.backendAnswered(this.ports.runtime.nowMs());
+    this.runs.handleAnswer(this.ports.runtime.nowMs());
     const { record, fingerprint } = this.judge(request);
-    const says = saysOfRun(statusCode);
+    const says = runOutcomeOf(statusCode);
     if (record === null || fingerprint === null || says === null) return;
-    this.runPermits.completed(fingerprint, this.version, says === 'good');
+    this.runPermits.reportCompletion(fingerprint, this.version, says === 'good');
   }
 
   /** See `CrashGuard`. */
@@ -68,24 +68,24 @@
 
   /** See `CrashGuard`. */
   interrupted(run: InterruptedRun): void {
-    this.runs.note(run);
+    this.runs.add(run);
   }
 
   /** See `CrashGuard`. */
   async runBroke(): Promise<void> {
     this.ports.onDoubt();
-    await this.reporter.runBroke();
+    await this.reporter.handleInterruptedRun();
   }
 
   /** Another life of the back end has begun, and the one before had not said that it leaves. */
-  lifeReplaced(before: EndedLife): void {
-    this.reporter.lifeReplaced(before);
+  lifeReplaced(before: BackendIncarnation): void {
+    this.reporter.handleNewIncarnation(before);
   }
 
   /** Takes an answer of the directory. */
   receive(notice: DirectoryNotice): void {
-    if (notice.kind === 'end-recorded') this.reporter.receive(notice);
-    if (notice.kind === 'run-permitted') this.runPermits.receive(notice);
+    if (notice.kind === 'end-recorded') this.reporter.handleNotice(notice);
+    if (notice.kind === 'run-permitted') this.runPermits.handleNotice(notice);
   }
 
   /** Reports no more. */
@@ -108,7 +108,7 @@
       },
       ask: (fingerprint) => {
         const present = life();
-        if (present !== null) runPermits.ask(fingerprint, present);
+        if (present !== null) runPermits.requestPermit(fingerprint, present);
       },
       release: (fingerprint, begun) => {
         runPermits.release(fingerprint, begun);
--- a/src/sidecar/link-outlook.ts
+++ b/src/sidecar/link-outlook.ts
@@ -2,7 +2,7 @@
  * How long an answer would wait for the network link of this daemon. Answers that are still being worked on will stand
  * before it as well: a back end makes large answers faster than a slow link carries them.
  */
-import { PACED_FRAME_BYTES, type LinkPacer } from '../link/link-pacer.js';
+import { MIN_PACED_FRAME_BYTES, type LinkPacer } from '../link/link-pacer.js';
 import { policyIsOn } from '../policy-switches.js';
 
 /** The part of a pacer that is needed here. */
@@ -29,7 +29,7 @@
 
   /** An answer of about this size will come. */
   accept(owner: Owner, bytes: number): void {
-    if (this.queue === null || bytes < PACED_FRAME_BYTES || !policyIsOn('expected-answers')) return;
+    if (this.queue === null || bytes < MIN_PACED_FRAME_BYTES || !policyIsOn('expected-answers')) return;
     this.forget(owner);
     const sendingMs = this.queue.sendingMs(bytes);
     this.expected.set(owner, sendingMs);
@@ -48,7 +48,7 @@
    * it passes while it is made, which takes `workMs`.
    */
   sendMs(owner: Owner | null, bytes: number, workMs: number): number {
-    if (this.queue === null || bytes < PACED_FRAME_BYTES) return 0;
+    if (this.queue === null || bytes < MIN_PACED_FRAME_BYTES) return 0;
     const aheadMs = this.queue.backlogMs + this.expectedMs - this.expectedOf(owner);
     const passedMs = policyIsOn('expected-answers') ? workMs : 0;
     return Math.max(0, aheadMs - passedMs) + this.queue.sendingMs(bytes);
--- a/src/sidecar/run-reports.ts
+++ b/src/sidecar/run-reports.ts
@@ -3,7 +3,7 @@
  * at once after a failure, so it is told only when other daemons know what there is to know.
  */
 import type { FailureHead } from '../link/link-messages.js';
-import { fingerprintOf, type IdentifiedRequest } from '../quarantine/request-fingerprint.js';
+import { cachedFingerprint, type IdentifiedRequest } from '../quarantine/request-fingerprint.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { MISDIRECTED_STATUS, type RunOutcome } from './backend-run.js';
 import type { CrashGuard } from './crash-guard.js';
@@ -35,7 +35,7 @@
     const wasBrokenOff = outcome.kind === 'cancelled' || outcome.kind === 'deadline';
     if (!byBackend && !wasBrokenOff) return undefined;
     const endedMs = this.runtime.nowMs();
-    const fingerprint = fingerprintOf(identity);
+    const fingerprint = cachedFingerprint(identity);
     const rounded = Math.round(usedMs);
     this.guard.interrupted({ requestId, fingerprint, byBackend, alone, endedMs, usedMs: rounded });
     return fingerprint;
--- a/src/sidecar/sidecar-metrics.ts
+++ b/src/sidecar/sidecar-metrics.ts
@@ -1,5 +1,5 @@
 /** The figures of a sidecar. */
-import { crashStages } from '../quarantine/crash-report.js';
+import { countCrashRecordsByStage } from '../quarantine/crash-report.js';
 import type { DaemonMetrics } from '../telemetry/daemon-metrics.js';
 import type { SidecarNode } from './sidecar-node.js';
 
@@ -48,7 +48,7 @@
   metrics.value('backend_ends', 'Times that it ended by itself under requests', () => node.crashes.ends);
   metrics.value('suspects_waiting', 'Requests that wait to run alone', () => gateway.suspects.waitingCount);
   metrics.family('crash_records', 'Requests under which back ends end, by stage', 'stage', () =>
-    crashStages(node.table.quarantine.all.values()),
+    countCrashRecordsByStage(node.table.quarantine.all.values()),
   );
   metrics.value('backend_broken', 'Runs without a whole answer', () => gateway.counters.broken);
   metrics.family('backend_slot_ms', 'Slot time in ms, by what it was spent for', 'use', () =>
--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -24,7 +24,7 @@
 import { CrashWatch } from './crash-watch.js';
 import { DirectoryClient } from './directory-client.js';
 import { DirectoryTable } from './directory-table.js';
-import type { EndedLife } from '../quarantine/end-reporter.js';
+import type { BackendIncarnation } from '../quarantine/end-reporter.js';
 import { KeyOwnership } from './key-ownership.js';
 import { LeaseKeeper } from './lease-keeper.js';
 import { LoadMeter } from './load-meter.js';
@@ -380,7 +380,7 @@
   }
 
   /** The life of the back end, as long as it does not leave and this daemon does not stop. */
-  private presentLife(): EndedLife | null {
+  private presentLife(): BackendIncarnation | null {
     const { heartbeat } = this.backend;
     if (heartbeat === null || this.backend.leaving || this.stoppingSinceMs !== null) return null;
     const { service, version } = heartbeat;
--- a/src/sidecar/sidecar-transport.ts
+++ b/src/sidecar/sidecar-transport.ts
@@ -5,7 +5,7 @@
 import { LinkClient, type Link, type LinkClientHandlers, type LinkRoute } from '../link/link-client.js';
 import type { StatusHead } from '../link/link-messages.js';
 import type { LinkPacer } from '../link/link-pacer.js';
-import { LinkServer, type TakeRequest } from '../link/link-server.js';
+import { LinkServer, type AcceptRequest } from '../link/link-server.js';
 import type { SocketAddress } from '../model/socket-address.js';
 import type { Result } from '../result.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -37,7 +37,7 @@
 
 /** What a listener for other daemons hands on. */
 export interface LinkListenerPorts {
-  readonly take: TakeRequest;
+  readonly take: AcceptRequest;
   /** How busy the back end is, for probes; null while nothing is known of it. */
   readonly status: () => StatusHead | null;
   /** Paces answers over a slow network link; null where it is fast. */
--- a/test/link/link-pacer.test.ts
+++ b/test/link/link-pacer.test.ts
@@ -1,11 +1,11 @@
 /** Pacing of large frames on a slow network link, and their order relative to small frames. */
 import test from 'ava';
-import { LinkPacer, PACED_FRAME_BYTES } from '../../src/link/link-pacer.js';
+import { LinkPacer, MIN_PACED_FRAME_BYTES } from '../../src/link/link-pacer.js';
 import { PacedFrames } from '../../src/link/paced-frames.js';
 import { ManualTime } from '../sidecar/manual-runtime.js';
 
 const BYTES_PER_MS = 1_000;
-const LARGE = 3 * PACED_FRAME_BYTES;
+const LARGE = 3 * MIN_PACED_FRAME_BYTES;
 const EMPTY_BODY = Buffer.alloc(0);
 
 function frame(name: string, bytes = name.length): Buffer {
--- a/test/link/link.test.ts
+++ b/test/link/link.test.ts
@@ -4,7 +4,7 @@
 import { LinkClient, type RequestHandlers } from '../../src/link/link-client.js';
 import { encodeFrameStart, FRAME_KIND, LinkFrameDecoder } from '../../src/link/link-frame.js';
 import type { RequestHead, StatusHead } from '../../src/link/link-messages.js';
-import { LinkServer, type AcceptedRequest, type TakeRequest } from '../../src/link/link-server.js';
+import { LinkServer, type AcceptedRequest, type AcceptRequest } from '../../src/link/link-server.js';
 
 const HEAD: RequestHead = {
   requestId: 'r',
@@ -36,7 +36,7 @@
 };
 
 async function startLink(
-  acceptRequest: TakeRequest,
+  acceptRequest: AcceptRequest,
   onStatus: (status: StatusHead) => void = () => undefined,
   onDisconnect: (reason: string) => void = () => undefined,
 ): Promise<{ client: LinkClient; close: () => void }> {
--- a/test/quarantine/crash-records.test.ts
+++ b/test/quarantine/crash-records.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {
   applyCrashCommand,
-  withdrawPermits,
+  revokePermitsHeldBy,
   type CrashCommand,
 } from '../../src/quarantine/crash-commands.js';
 import {
@@ -50,7 +50,7 @@
   const granted: string[] = [];
   steps.forEach((step, index) => {
     if (step.kind === 'gone') {
-      withdrawPermits(records, new Set([step.life]));
+      revokePermitsHeldBy(records, new Set([step.life]));
       return;
     }
     const { outcome } = applyCrashCommand(records, step, index + 1);
@@ -247,7 +247,7 @@
         const before = records.get(REQUEST);
         const counted = before !== undefined && crashCount(before) >= RUN_LIMIT_CRASH_THRESHOLD;
         if (step.kind === 'gone') {
-          withdrawPermits(records, new Set([step.life]));
+          revokePermitsHeldBy(records, new Set([step.life]));
           if (holder === step.life) holder = null;
           return;
         }
--- a/test/sidecar/backend-gateway.test.ts
+++ b/test/sidecar/backend-gateway.test.ts
@@ -83,7 +83,7 @@
       answer: () => undefined,
       body: () => true,
       end: () => undefined,
-      onRoom: () => undefined,
+      onDrain: () => undefined,
     };
   }
 }
--- a/test/sidecar/sidecar-node.test.ts
+++ b/test/sidecar/sidecar-node.test.ts
@@ -298,7 +298,7 @@
     answer: () => undefined,
     body: () => true,
     end: () => undefined,
-    onRoom: () => undefined,
+    onDrain: () => undefined,
   };
   const head = {
     requestId: 'r',
