--- a/src/sidecar/run-reporter.ts
+++ b/src/sidecar/run-reporter.ts
@@ -3,7 +3,7 @@
  * immediately after a failure, so it gets the failure only after a crash has been recorded for other daemons to see.
  */
 import type { FailureHead } from '../link/link-messages.js';
-import { fingerprintOf, type IdentifiedRequest } from '../quarantine/request-fingerprint.js';
+import { cachedFingerprint, type IdentifiedRequest } from '../quarantine/request-fingerprint.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { MISDIRECTED_STATUS, type RunOutcome } from './backend-run.js';
 import type { CrashGuard } from './crash-guard.js';
@@ -35,7 +35,7 @@
     const cancelledByGateway = outcome.kind === 'cancelled' || outcome.kind === 'deadline';
     if (!byBackend && !cancelledByGateway) return undefined;
     const endedMs = this.runtime.nowMs();
-    const fingerprint = fingerprintOf(identity);
+    const fingerprint = cachedFingerprint(identity);
     const roundedMs = Math.round(usedMs);
     this.guard.interrupted({
       requestId,
--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -24,7 +24,7 @@
 import { CrashWatch } from './crash-watch.js';
 import { DirectoryClient } from './directory-client.js';
 import { DirectoryTable } from './directory-table.js';
-import type { EndedLife } from '../quarantine/end-reporter.js';
+import type { BackendIncarnation } from '../quarantine/end-reporter.js';
 import { KeyOwnership } from './key-ownership.js';
 import { LeaseKeeper } from './lease-keeper.js';
 import { LoadMeter } from './load-meter.js';
@@ -388,7 +388,7 @@
   }
 
   /** The back end's incarnation; null while it is leaving or this daemon is stopping. */
-  private currentIncarnation(): EndedLife | null {
+  private currentIncarnation(): BackendIncarnation | null {
     const { heartbeat } = this.backend;
     if (heartbeat === null || this.backend.leaving || this.stoppingSinceMs !== null) return null;
     const { service, version } = heartbeat;
