--- a/src/router/backend-health.ts
+++ b/src/router/backend-health.ts
@@ -1,50 +1,50 @@
 /**
- * What a router itself saw of a back end. A refused connection means that the process is gone; requests
- * that ended without an answer mean that it is frozen or cut off. Health endpoints are not asked: they
- * lag behind or mislead, and an attempt tells more.
+ * Passive health tracking of a back end from the router's own requests. A refused connection means that the
+ * process has ended; requests without an answer mean that it is frozen or partitioned. Health endpoints are
+ * not queried: they lag behind or mislead, and an actual attempt is more informative.
  */
 
-/** Unanswered requests in a row after which a back end counts as down. */
-const UNANSWERED_LIMIT = 3;
+/** Consecutive unanswered requests after which a back end is considered down. */
+const MAX_CONSECUTIVE_UNANSWERED = 3;
 
-/** Pause between attempts on a back end that is down, in ms. */
-export const PROBE_PAUSE_MS = 200;
+/** Interval between probing requests to a back end that is down, in ms. */
+export const PROBE_INTERVAL_MS = 200;
 
-/** Observations of one back end. Times are ms of the router's monotonic clock. */
+/** Health of one back end. Times are in ms of the router's monotonic clock. */
 export class BackendHealth {
   private unanswered = 0;
   private downSince: number | null = null;
   private lastProbeMs = 0;
 
-  /** When it went down; null while it is up. */
+  /** Time at which the back end went down; null while it is up. */
   get downSinceMs(): number | null {
     return this.downSince;
   }
 
-  /** It answered, whatever it said. */
+  /** Records an answer of any kind, including a refusal. */
   answered(): void {
     this.unanswered = 0;
     this.downSince = null;
   }
 
-  /** It refused the connection. */
-  connectionRefused(nowMs: number): void {
+  /** Records a refused connection. */
+  recordConnectionRefused(nowMs: number): void {
     this.downSince ??= nowMs;
     this.lastProbeMs = nowMs;
   }
 
-  /** A request ended without an answer. */
-  unansweredRequest(nowMs: number): void {
+  /** Records a request that ended without an answer. */
+  recordUnansweredRequest(nowMs: number): void {
     this.unanswered += 1;
-    if (this.unanswered < UNANSWERED_LIMIT) return;
+    if (this.unanswered < MAX_CONSECUTIVE_UNANSWERED) return;
     this.downSince ??= nowMs;
     this.lastProbeMs = nowMs;
   }
 
-  /** Whether a request may be tried now; while down, one in each pause. */
+  /** Whether a request may be sent now. While the back end is down, admits one request per probe interval. */
   admits(nowMs: number): boolean {
     if (this.downSince === null) return true;
-    if (nowMs - this.lastProbeMs < PROBE_PAUSE_MS) return false;
+    if (nowMs - this.lastProbeMs < PROBE_INTERVAL_MS) return false;
     this.lastProbeMs = nowMs;
     return true;
   }
--- a/src/router/backend-state.ts
+++ b/src/router/backend-state.ts
@@ -1,27 +1,27 @@
-/** Everything that a router holds about one back end: connections, slots, what was seen of it. */
+/** Per-back-end state of a router: connection pool, slots and health. */
 import { Pool } from 'undici';
 import type { ServiceConfiguration } from '../config/configuration.js';
 import { formatAddress, type SocketAddress } from '../model/socket-address.js';
 import { BackendHealth } from './backend-health.js';
 import { SlotLimiter } from './slot-limiter.js';
 
-/** Time in ms for opening a connection. */
+/** Maximum time to open a connection, in ms. */
 const CONNECT_TIMEOUT_MS = 500;
 
-/** Time in ms without a byte of a body after which the connection is broken off. */
-const BODY_SILENCE_MS = 30_000;
+/** Time in ms without a byte of a response body after which the connection is closed. */
+const BODY_IDLE_TIMEOUT_MS = 30_000;
 
-/** One back end as a router sees it. */
+/** State of one back end. */
 export interface BackendState {
   readonly address: SocketAddress;
   readonly pool: Pool;
   readonly limiter: SlotLimiter;
   health: BackendHealth;
-  /** Session under which `health` was observed; a new one starts with a clean record. */
+  /** Session under which `health` was observed; health is reset with each new session. */
   session: number;
 }
 
-/** Back ends of all services, made when they are first used. */
+/** States of the back ends of all services, created on first use. */
 export class BackendStates {
   private readonly states = new Map<string, BackendState>();
 
@@ -31,34 +31,34 @@
     private readonly addressOverrides: Readonly<Record<string, SocketAddress>>,
   ) {}
 
-  /** The state of a back end, or undefined before its first use. */
+  /** Returns the state of a back end, or undefined before its first use. */
   peek(backend: string): BackendState | undefined {
     return this.states.get(backend);
   }
 
-  /** All back ends that were used. */
+  /** Iterates over all back ends used so far. */
   entries(): IterableIterator<[string, BackendState]> {
     return this.states.entries();
   }
 
-  /** The state of a back end; null when the configuration does not name it. */
+  /** Returns the state of a back end, creating it if needed; null if the configuration does not contain it. */
   get(service: ServiceConfiguration, backend: string): BackendState | null {
     const configured = service.backends[backend];
     if (configured === undefined) return null;
     const address = this.addressOverrides[backend] ?? configured.address;
-    const known = this.states.get(backend);
-    if (known !== undefined && formatAddress(known.address) === formatAddress(address)) return known;
-    if (known !== undefined) void known.pool.close();
+    const existing = this.states.get(backend);
+    if (existing !== undefined && formatAddress(existing.address) === formatAddress(address)) return existing;
+    if (existing !== undefined) void existing.pool.close();
     const created = this.create(service, address);
     this.states.set(backend, created);
     return created;
   }
 
-  /** Fits the slots to a new configuration. */
+  /** Adjusts the slots to a new configuration. */
   resize(services: ReadonlyMap<string, ServiceConfiguration>): void {
     for (const service of services.values()) {
       for (const backend of Object.keys(service.backends)) {
-        this.states.get(backend)?.limiter.resize(this.share(service.slots));
+        this.states.get(backend)?.limiter.resize(this.shareOf(service.slots));
       }
     }
   }
@@ -69,20 +69,20 @@
   }
 
   private create(service: ServiceConfiguration, address: SocketAddress): BackendState {
-    const slots = this.share(service.slots);
+    const slots = this.shareOf(service.slots);
     const pool = new Pool(`http://${formatAddress(address)}`, {
-      connections: Math.min(slots, this.share(service.connections)),
+      connections: Math.min(slots, this.shareOf(service.connections)),
       pipelining: 1,
       connect: { timeout: CONNECT_TIMEOUT_MS },
       headersTimeout: 0,
-      bodyTimeout: BODY_SILENCE_MS,
+      bodyTimeout: BODY_IDLE_TIMEOUT_MS,
     });
     const limiter = new SlotLimiter(slots, this.maxQueued);
     return { address, pool, limiter, health: new BackendHealth(), session: 0 };
   }
 
-  /** This router's part of a limit that all routers share. */
-  private share(limit: number): number {
+  /** Returns this router's share of a limit that applies to all routers together. */
+  private shareOf(limit: number): number {
     return Math.max(1, Math.floor(limit / this.routers));
   }
 }
--- a/src/router/forward-attempt.ts
+++ b/src/router/forward-attempt.ts
@@ -1,7 +1,7 @@
 /**
- * One attempt: sends a request to a back end and streams the answer to the caller with back-pressure.
- * Nothing is held whole. An answer that breaks off is broken off towards the caller too, so that it can
- * never pass for a whole one.
+ * One attempt: sends a request to a back end and streams the answer to the caller with backpressure, without
+ * buffering it. If the answer is truncated, the caller's connection is aborted too, so that a truncated answer
+ * is never mistaken for a complete one.
  */
 import type { IncomingHttpHeaders, ServerResponse } from 'node:http';
 import type { Readable } from 'node:stream';
@@ -11,29 +11,30 @@
 import type { AttemptFailure } from './attempt-policy.js';
 import { RETRY_AFTER_MS_HEADER } from './refusal.js';
 
-/** What is sent. */
+/** Request as sent to the back end. */
 export interface AttemptRequest {
   readonly method: string;
   readonly path: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   readonly headers: string[];
   readonly body: Buffer | Readable | null;
-  /** Time in ms until an answer must have begun. */
+  /** Time in ms within which the answer must start. */
   readonly budgetMs: number;
 }
 
 /** How an attempt ended. */
 export type AttemptResult =
   | { readonly kind: 'answered'; readonly statusCode: number }
-  /** The answer broke off after it had begun; the caller's connection was broken off as well. */
+  /** The answer was truncated after it had started; the caller's connection was aborted as well. */
   | { readonly kind: 'cut' }
-  /** The caller went away; the back end's connection was closed so that it can stop working. */
+  /** The caller disconnected; the connection to the back end was closed so that it can stop working. */
   | { readonly kind: 'caller-gone' }
   | { readonly kind: 'failed'; readonly failure: AttemptFailure };
 
-const FIRST_FINAL_STATUS = 200;
+/** Lowest status code of a final response; lower ones are informational (1xx). */
+const MIN_FINAL_STATUS = 200;
 
-/** Makes one attempt; never rejects. */
+/** Makes one attempt; the returned promise never rejects. */
 export async function forwardAttempt(
   pool: Pool,
   request: AttemptRequest,
@@ -54,9 +55,9 @@
   private refused: AttemptFailure | null = null;
   private settled = false;
   private readonly timer: NodeJS.Timeout;
-  private readonly onCallerClose = (): void => {
+  private readonly onCallerDisconnect = (): void => {
     this.settle({ kind: 'caller-gone' });
-    this.controller?.abort(new Error('the caller went away'));
+    this.controller?.abort(new Error('the caller disconnected'));
   };
 
   constructor(
@@ -68,13 +69,13 @@
       this.settle({ kind: 'failed', failure: { kind: 'deadline-passed', sent: this.sent } });
       this.controller?.abort(new Error('the deadline passed'));
     }, budgetMs);
-    response.once('close', this.onCallerClose);
+    response.once('close', this.onCallerDisconnect);
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.controller = controller;
     if (this.settled) {
-      controller.abort(new Error('the request was given up before it was sent'));
+      controller.abort(new Error('the request was abandoned before it was sent'));
       return;
     }
     this.sent = true;
@@ -85,7 +86,7 @@
     status: number,
     headers: IncomingHttpHeaders,
   ): void {
-    if (this.settled || status < FIRST_FINAL_STATUS) return;
+    if (this.settled || status < MIN_FINAL_STATUS) return;
     clearTimeout(this.timer);
     this.refused = readRefusal(headers);
     if (this.refused !== null) return;
@@ -132,7 +133,7 @@
     if (this.settled) return;
     this.settled = true;
     clearTimeout(this.timer);
-    this.response.removeListener('close', this.onCallerClose);
+    this.response.removeListener('close', this.onCallerDisconnect);
     this.resolve(result);
   }
 }
@@ -141,16 +142,16 @@
   const header = headers[REFUSAL_HEADER];
   if (header === undefined) return null;
   const code = refusalCodeSchema.safeParse(header);
-  // A refusal that cannot be understood is taken as no answer: nothing is known about the execution.
+  // An unrecognized refusal is treated as no answer: whether the request was executed is unknown.
   if (!code.success) return { kind: 'no-answer' };
   const retryAfterMs = Number(headers[RETRY_AFTER_MS_HEADER] ?? 0) || 0;
   return { kind: 'refused', code: code.data, retryAfterMs };
 }
 
 function endToEndHeaders(headers: IncomingHttpHeaders): IncomingHttpHeaders {
-  const kept: IncomingHttpHeaders = {};
+  const forwarded: IncomingHttpHeaders = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (!CONNECTION_HEADERS.has(name)) kept[name] = value;
+    if (!CONNECTION_HEADERS.has(name)) forwarded[name] = value;
   }
-  return kept;
+  return forwarded;
 }
--- a/src/router/refusal.ts
+++ b/src/router/refusal.ts
@@ -1,4 +1,4 @@
-/** How a router ends a request that it could not complete: what is known, and when to come back. */
+/** Answers of the router itself for requests that it could not complete, with their outcome and retry hint. */
 
 /** Why a request was not completed. */
 export type RefusalCode =
@@ -15,15 +15,15 @@
   | 'quarantined'
   | 'outcome-unknown';
 
-/** What is known about the execution of the request. */
+/** Whether the request is known not to have been executed. */
 export type Outcome = 'not-run' | 'unknown';
 
-/** A final answer in place of the back end's. */
+/** Final answer of the router in place of the back end's. */
 export interface Refusal {
   readonly code: RefusalCode;
   readonly outcome: Outcome;
   readonly detail: string;
-  /** When to come back, in ms; null when coming back cannot help. */
+  /** Time in ms after which to retry; null if a retry cannot succeed. */
   readonly retryAfterMs: number | null;
 }
 
@@ -33,7 +33,7 @@
   readonly title: string;
 }
 
-const RULES: Readonly<Record<RefusalCode, RefusalRule>> = {
+const REFUSAL_RULES: Readonly<Record<RefusalCode, RefusalRule>> = {
   'malformed-request': { status: 400, outcome: 'not-run', title: 'The request cannot be read' },
   'unknown-service': { status: 404, outcome: 'not-run', title: 'No such service' },
   'missing-key': { status: 400, outcome: 'not-run', title: 'The request names no key' },
@@ -52,44 +52,44 @@
   'outcome-unknown': { status: 504, outcome: 'unknown', title: 'The request may or may not have run' },
 };
 
-/** Header that says what is known about the execution. */
+/** Response header with the outcome of a refused request. */
 export const OUTCOME_HEADER = 'aldertide-outcome';
 
-/** Header with the time after which to come back, in ms; `Retry-After` gives it in whole seconds. */
+/** Response header with the time after which to retry, in ms; `Retry-After` gives it in whole seconds. */
 export const RETRY_AFTER_MS_HEADER = 'aldertide-retry-after-ms';
 
 const MS_PER_SECOND = 1_000;
 
-/** Makes a refusal. */
+/** Creates a refusal; its outcome follows from the code. */
 export function refusal(code: RefusalCode, detail: string, retryAfterMs: number | null): Refusal {
-  return { code, outcome: RULES[code].outcome, detail, retryAfterMs };
+  return { code, outcome: REFUSAL_RULES[code].outcome, detail, retryAfterMs };
 }
 
-/** A refusal as an HTTP answer with a problem+json body (RFC 9457). */
+/** HTTP response for a refusal, with a problem+json body (RFC 9457). */
 export interface RefusalResponse {
   readonly status: number;
   readonly headers: Record<string, string>;
   readonly body: string;
 }
 
-/** Writes a refusal as an HTTP answer. */
-export function refusalResponse(given: Refusal): RefusalResponse {
-  const rule = RULES[given.code];
+/** Converts a refusal to an HTTP response. */
+export function refusalResponse(refused: Refusal): RefusalResponse {
+  const rule = REFUSAL_RULES[refused.code];
   const body = JSON.stringify({
-    type: `urn:aldertide:refusal:${given.code}`,
+    type: `urn:aldertide:refusal:${refused.code}`,
     title: rule.title,
     status: rule.status,
-    detail: given.detail,
-    outcome: given.outcome,
-    retryAfterMs: given.retryAfterMs,
+    detail: refused.detail,
+    outcome: refused.outcome,
+    retryAfterMs: refused.retryAfterMs,
   });
   const headers: Record<string, string> = {
     'content-type': 'application/problem+json',
     'content-length': String(Buffer.byteLength(body)),
-    [OUTCOME_HEADER]: given.outcome,
+    [OUTCOME_HEADER]: refused.outcome,
   };
-  if (given.retryAfterMs !== null) {
-    const retryAfterMs = Math.max(1, Math.round(given.retryAfterMs));
+  if (refused.retryAfterMs !== null) {
+    const retryAfterMs = Math.max(1, Math.round(refused.retryAfterMs));
     headers['retry-after'] = String(Math.ceil(retryAfterMs / MS_PER_SECOND));
     headers[RETRY_AFTER_MS_HEADER] = String(retryAfterMs);
   }
--- a/src/router/request-key.ts
+++ b/src/router/request-key.ts
@@ -1,21 +1,21 @@
-/** Reads from a request what routing needs: service, key, whether it may be repeated, deadline. */
+/** Extracts the routing information of a request: service, key, repeatability and deadline. */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { KeySource, ServiceConfiguration } from '../config/configuration.js';
 import { REQUEST_HEADERS } from '../backend-contract/grant-messages.js';
 
-/** Methods that may be repeated by their definition (RFC 9110, 9.2.2). */
-const REPEATABLE_METHODS = new Set(['GET', 'HEAD', 'PUT', 'DELETE', 'OPTIONS', 'TRACE']);
+/** Methods that are idempotent by definition (RFC 9110, 9.2.2). */
+const IDEMPOTENT_METHODS = new Set(['GET', 'HEAD', 'PUT', 'DELETE', 'OPTIONS', 'TRACE']);
 
-/** Path of a request, taken apart. */
+/** Parsed request target. */
 export interface RequestPath {
   readonly service: string;
   /** Path after the service name, starting with a slash, without the query. */
   readonly rest: string;
-  /** Text after the question mark; empty when there is none. */
+  /** Query string without the question mark; empty if there is none. */
   readonly query: string;
 }
 
-/** Takes the target of a request apart; its first segment names the service. */
+/** Parses a request target; its first path segment names the service. */
 export function parsePath(url: string): RequestPath {
   const queryStart = url.indexOf('?');
   const path = queryStart < 0 ? url : url.slice(0, queryStart);
@@ -25,7 +25,7 @@
   return { service: path.slice(1, serviceEnd), rest: path.slice(serviceEnd), query };
 }
 
-/** Key of a request, or null when it carries none. */
+/** Returns the key of a request, or null if it has none. */
 export function requestKey(
   source: KeySource,
   path: RequestPath,
@@ -37,33 +37,35 @@
     case 'query':
       return new URLSearchParams(path.query).get(source.name);
     case 'header':
-      return headerText(headers, source.name);
+      return headerValue(headers, source.name);
   }
 }
 
-/** Whether a request may be run more than once: the longest matching rule, else the method. */
+/** Whether a request may be run more than once, by the longest matching endpoint rule or else by its method. */
 export function isRepeatable(service: ServiceConfiguration, method: string, rest: string): boolean {
-  let best: { readonly path: string; readonly repeatable: boolean } | null = null;
+  let longestMatch: { readonly path: string; readonly repeatable: boolean } | null = null;
   for (const rule of service.endpoints) {
     const matches = rule.method === method && rest.startsWith(rule.path);
-    if (matches && rule.path.length > (best?.path.length ?? -1)) best = rule;
+    if (matches && rule.path.length > (longestMatch?.path.length ?? -1)) longestMatch = rule;
   }
-  return best?.repeatable ?? REPEATABLE_METHODS.has(method);
+  return longestMatch?.repeatable ?? IDEMPOTENT_METHODS.has(method);
 }
 
-/** The caller's own key for repeating a request, or null. */
+/** Returns the idempotency key set by the caller, or null. */
 export function idempotencyKey(headers: IncomingHttpHeaders): string | null {
-  return headerText(headers, REQUEST_HEADERS.idempotencyKey);
+  return headerValue(headers, REQUEST_HEADERS.idempotencyKey);
 }
 
-/** Time in ms that the caller leaves for the request: its header, at most the service's own limit. */
+/** Returns the time in ms until the request's deadline: the caller's header, capped by the limit of the service. */
 export function deadlineBudgetMs(service: ServiceConfiguration, headers: IncomingHttpHeaders): number {
-  const text = headerText(headers, REQUEST_HEADERS.deadline);
-  const asked = text === null ? NaN : Number(text);
-  return Number.isFinite(asked) && asked >= 0 ? Math.min(asked, service.deadlineMs) : service.deadlineMs;
+  const text = headerValue(headers, REQUEST_HEADERS.deadline);
+  const requestedMs = text === null ? NaN : Number(text);
+  return Number.isFinite(requestedMs) && requestedMs >= 0
+    ? Math.min(requestedMs, service.deadlineMs)
+    : service.deadlineMs;
 }
 
-function headerText(headers: IncomingHttpHeaders, name: string): string | null {
+function headerValue(headers: IncomingHttpHeaders, name: string): string | null {
   const value = headers[name.toLowerCase()];
   const text = Array.isArray(value) ? value[0] : value;
   return text === undefined || text === '' ? null : text;
--- a/src/router/request-router.ts
+++ b/src/router/request-router.ts
@@ -1,4 +1,4 @@
-/** Takes a caller's request to the back end that owns its key, within its deadline. */
+/** Routes a caller's request to the back end that owns its key, with retries, within its deadline. */
 import { clockMs } from '../runtime/clock.js';
 import { randomUUID } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -12,46 +12,46 @@
 import type { IdentifiedRequest } from '../quarantine/request-fingerprint.js';
 import type { Clearance, GuardedBackend, GuardedRun } from './run-guard.js';
 import { refusal, refusalResponse, type Refusal, type RefusalCode } from './refusal.js';
-import { takeBody, type RequestBody } from './request-body.js';
+import { readRequestBody, type RequestBody } from './request-body.js';
 import { deadlineBudgetMs, idempotencyKey, isRepeatable, parsePath, requestKey } from './request-key.js';
 import type { RetryBudget } from './retry-budget.js';
 import type { RouterState } from './router-state.js';
-import { selectAny, selectOwner, type NoTarget, type Target } from './target-selection.js';
+import { selectAny, selectOwner, type NoTargetReason, type Target } from './target-selection.js';
 
-/** A request on its way. */
-interface Flow {
+/** State of one request in flight. */
+interface RoutedRequest {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly serviceName: string;
   readonly service: ServiceConfiguration;
-  /** Key that decides the owner; null when any back end may serve. */
+  /** Key that determines the owner; null if any back end may serve the request. */
   readonly key: string | null;
   readonly repeatable: boolean;
   readonly deadlineMs: number;
   readonly headers: string[];
   readonly body: RequestBody;
-  /** What tells it from other requests; null where its body is streamed and cannot be known. */
+  /** Identity for crash tracking; null if the body is streamed and therefore unknown. */
   readonly identity: IdentifiedRequest | null;
   readonly budget: RetryBudget;
   readonly tried: Set<string>;
   attempts: number;
-  /** Time in ms that was spent waiting for an owner. */
+  /** Total time spent waiting for an owner, in ms. */
   waitedMs: number;
 }
 
-/** How a request ended, for counters. */
-export type FlowEnd = 'answered' | 'cut' | 'caller-gone' | RefusalCode;
+/** How a request ended, as counted in the metrics. */
+export type RequestEnd = 'answered' | 'cut' | 'caller-gone' | RefusalCode;
 
-/** Routes requests by the state of one router. */
+/** Routes requests using the state of one router. */
 export class RequestRouter {
   constructor(private readonly state: RouterState) {}
 
-  /** Handles one request to its end. */
+  /** Handles one request until it has ended. */
   async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const startedMs = clockMs();
     this.state.requestStarted();
-    const prepared = await this.prepare(request, response, startedMs);
-    const end = 'code' in prepared ? this.refuse(response, prepared) : await this.run(prepared);
+    const routed = await this.prepare(request, response, startedMs);
+    const end = 'code' in routed ? this.refuse(response, routed) : await this.run(routed);
     this.state.requestEnded(end, clockMs() - startedMs);
   }
 
@@ -59,7 +59,7 @@
     request: IncomingMessage,
     response: ServerResponse,
     startedMs: number,
-  ): Promise<Flow | Refusal> {
+  ): Promise<RoutedRequest | Refusal> {
     if (this.state.table.index === 0)
       return refusal('not-ready', 'no table from control yet', OWNER_RETRY_AFTER_MS);
     const path = parsePath(request.url ?? '/');
@@ -70,11 +70,12 @@
     const key = service.key === undefined ? null : requestKey(service.key, path, headers);
     if (service.division === 'keyed' && key === null)
       return refusal('missing-key', describeKey(service), null);
-    const body = await takeBody(request);
+    const body = await readRequestBody(request);
     if (body === null) return refusal('malformed-request', 'the body broke off', null);
     const requestedKey = service.division === 'keyed' ? key : null;
-    const identity = identityOf(request, body, requestedKey);
-    if (identity !== null && this.state.guard.judge(identity).stage === 'quarantined') return quarantined();
+    const identity = identifyRequest(request, body, requestedKey);
+    if (identity !== null && this.state.guard.quarantineStatus(identity).stage === 'quarantined')
+      return quarantineRefusal();
     const budget = this.state.budgetOf(path.service);
     budget.requestStarted();
     return {
@@ -82,7 +83,7 @@
       response,
       serviceName: path.service,
       service,
-      key: requestedKey ?? claimKey(repeatable, idempotencyKey(headers)),
+      key: requestedKey ?? claimRoutingKey(repeatable, idempotencyKey(headers)),
       repeatable,
       deadlineMs: startedMs + deadlineBudgetMs(service, headers),
       headers: forwardedHeaders(request.rawHeaders),
@@ -95,195 +96,210 @@
     };
   }
 
-  private async run(flow: Flow): Promise<FlowEnd> {
+  private async run(routed: RoutedRequest): Promise<RequestEnd> {
     for (;;) {
-      const target = this.select(flow);
+      const target = this.select(routed);
       if (typeof target === 'string') {
-        const given = await this.awaitOwner(flow, target);
-        if (given !== null) return this.refuse(flow.response, given);
+        const noOwner = await this.awaitOwner(routed, target);
+        if (noOwner !== null) return this.refuse(routed.response, noOwner);
         continue;
       }
-      const end = await this.attempt(flow, target);
+      const end = await this.attempt(routed, target);
       if (end !== null) return end;
     }
   }
 
-  private select(flow: Flow): Target | NoTarget {
-    if (flow.key !== null) return selectOwner(this.state.view, flow.serviceName, flow.service, flow.key);
-    return selectAny(this.state.view, flow.serviceName, flow.tried);
+  private select(routed: RoutedRequest): Target | NoTargetReason {
+    if (routed.key !== null)
+      return selectOwner(this.state.routingView, routed.serviceName, routed.service, routed.key);
+    return selectAny(this.state.routingView, routed.serviceName, routed.tried);
   }
 
-  /** Waits a short time for a newer table; returns how the request ends when there is none. */
-  private async awaitOwner(flow: Flow, reason: NoTarget): Promise<Refusal | null> {
-    const updated = !this.isKnownDown(flow) && (await this.pause(flow, this.state.settings.ownerWaitMs));
+  /** Waits a short time for a newer table; returns the refusal if none arrives. */
+  private async awaitOwner(routed: RoutedRequest, reason: NoTargetReason): Promise<Refusal | null> {
+    const updated =
+      !this.isOwnerKnownDown(routed) &&
+      (await this.awaitTableUpdate(routed, this.state.settings.ownerWaitMs));
     return updated
       ? null
-      : refusal(reason, `${flow.serviceName} has no owner for this key`, OWNER_RETRY_AFTER_MS);
+      : refusal(reason, `${routed.serviceName} has no owner for this key`, OWNER_RETRY_AFTER_MS);
   }
 
-  /** Whether the owner was down for longer than requests wait: then they are refused at once. */
-  private isKnownDown(flow: Flow): boolean {
-    if (flow.key === null) return false;
-    const shard = shardOfKey(flow.serviceName, flow.key, flow.service.shards);
-    const owner = this.state.table.row(flow.serviceName, shard)?.owner ?? null;
+  /** Whether the owner has been down for longer than the maximum owner wait; requests are then refused at once. */
+  private isOwnerKnownDown(routed: RoutedRequest): boolean {
+    if (routed.key === null) return false;
+    const shard = shardOfKey(routed.serviceName, routed.key, routed.service.shards);
+    const owner = this.state.table.row(routed.serviceName, shard)?.owner ?? null;
     const downSinceMs = owner === null ? null : (this.state.backends.peek(owner)?.health.downSinceMs ?? null);
     return downSinceMs !== null && clockMs() - downSinceMs > this.state.settings.ownerWaitMs;
   }
 
-  /** Waits for a newer table for at most `ms`, within the owner wait and the deadline. */
-  private async pause(flow: Flow, ms: number): Promise<boolean> {
+  /** Waits for a newer table for at most `ms`, bounded by the maximum owner wait and the deadline. */
+  private async awaitTableUpdate(routed: RoutedRequest, ms: number): Promise<boolean> {
     const startedMs = clockMs();
-    const leftMs = this.state.settings.ownerWaitMs - flow.waitedMs;
-    const updated = await this.state.waiters.next(Math.min(ms, leftMs, flow.deadlineMs - startedMs));
-    flow.waitedMs += clockMs() - startedMs;
+    const remainingMs = this.state.settings.ownerWaitMs - routed.waitedMs;
+    const updated = await this.state.tableWaiters.nextUpdate(
+      Math.min(ms, remainingMs, routed.deadlineMs - startedMs),
+    );
+    routed.waitedMs += clockMs() - startedMs;
     return updated;
   }
 
-  /** Makes one attempt; null when the request goes on. */
-  private async attempt(flow: Flow, target: Target): Promise<FlowEnd | null> {
-    const backend = this.state.backends.get(flow.service, target.backend);
+  /** Makes one attempt; returns null if the request is to be retried. */
+  private async attempt(routed: RoutedRequest, target: Target): Promise<RequestEnd | null> {
+    const backend = this.state.backends.get(routed.service, target.backend);
     if (backend === null)
-      return this.refuse(flow.response, refusal('no-owner', target.backend, OWNER_RETRY_AFTER_MS));
-    const guarded = { name: target.backend, service: flow.serviceName, address: backend.address };
-    const clearance = await this.clear(flow, guarded);
-    if (clearance.kind === 'refused') return this.refuse(flow.response, this.notCleared(flow));
-    const noSlot = await this.takeSlot(flow, backend, target.backend, clearance);
-    if (noSlot !== null) {
-      this.state.guard.giveBack(clearance, false);
-      if (noSlot === 'deadline-passed')
-        return await this.afterFailure(flow, { kind: 'deadline-passed', sent: false });
-      return this.refuse(flow.response, noSlot);
+      return this.refuse(routed.response, refusal('no-owner', target.backend, OWNER_RETRY_AFTER_MS));
+    const guarded = { name: target.backend, service: routed.serviceName, address: backend.address };
+    const clearance = await this.acquireClearance(routed, guarded);
+    if (clearance.kind === 'refused') return this.refuse(routed.response, this.clearanceRefusal(routed));
+    const slotFailure = await this.acquireSlot(routed, backend, target.backend, clearance);
+    if (slotFailure !== null) {
+      this.state.guard.releaseClearance(clearance, false);
+      if (slotFailure === 'deadline-passed')
+        return await this.afterFailure(routed, { kind: 'deadline-passed', sent: false });
+      return this.refuse(routed.response, slotFailure);
     }
     const startedMs = clockMs();
-    flow.attempts += 1;
-    flow.tried.add(target.backend);
-    const request = this.attemptRequest(flow, target);
+    routed.attempts += 1;
+    routed.tried.add(target.backend);
+    const request = this.attemptRequest(routed, target);
     const alone = backend.limiter.inFlight === 1;
-    const result = await forwardAttempt(backend.pool, request, flow.response);
+    const result = await forwardAttempt(backend.pool, request, routed.response);
     backend.limiter.release(clockMs() - startedMs);
-    await this.tellGuard(flow, guarded, result, { startedMs, alone, clearance });
+    await this.reportToGuard(routed, guarded, result, { startedMs, alone, clearance });
     if (result.kind === 'failed') {
-      this.observeFailure(backend, result.failure);
-      return await this.afterFailure(flow, result.failure);
+      this.recordFailure(backend, result.failure);
+      return await this.afterFailure(routed, result.failure);
     }
     if (result.kind === 'answered') backend.health.answered();
     return result.kind;
   }
 
-  /** Waits for a slot; returns why there is none, or why it is not used. */
-  private async takeSlot(
-    flow: Flow,
+  /** Waits for a slot; returns null once it is acquired, otherwise why it was not acquired or not used. */
+  private async acquireSlot(
+    routed: RoutedRequest,
     { limiter }: BackendState,
     name: string,
     clearance: Clearance,
   ): Promise<Refusal | 'deadline-passed' | null> {
-    const slot = await limiter.acquire(flow.deadlineMs - clockMs());
+    const slot = await limiter.acquire(routed.deadlineMs - clockMs());
     if (slot.kind === 'deadline-passed') return 'deadline-passed';
     if (slot.kind === 'refused') return refusal('overloaded', `${name} has no free slot`, slot.retryAfterMs);
-    // Back ends may have ended under it while it waited.
-    if (clearance.kind !== 'free' || !this.isHeld(flow)) return null;
+    // Back ends may have ended while running the same request during the wait.
+    if (clearance.kind !== 'free' || !this.isRestricted(routed)) return null;
     limiter.releaseUnused();
-    return this.notCleared(flow);
+    return this.clearanceRefusal(routed);
   }
 
-  /** A suspect waits for its permit; a stream cannot be recognized, and is not held up. */
-  private async clear({ identity, deadlineMs }: Flow, backend: GuardedBackend): Promise<Clearance> {
+  /** Waits for a permit if the request is a suspect. A request with a streamed body cannot be identified and passes. */
+  private async acquireClearance(
+    { identity, deadlineMs }: RoutedRequest,
+    backend: GuardedBackend,
+  ): Promise<Clearance> {
     if (identity === null) return { kind: 'free' };
     return await this.state.guard.acquire(identity, backend, deadlineMs);
   }
 
-  private notCleared(flow: Flow): Refusal {
-    if (this.isQuarantined(flow)) return quarantined();
+  private clearanceRefusal(routed: RoutedRequest): Refusal {
+    if (this.isQuarantined(routed)) return quarantineRefusal();
     return refusal('overloaded', 'it runs alone, one run at a time', OWNER_RETRY_AFTER_MS);
   }
 
-  /** The caller is told of a failure only when other routers know what there is to know: it comes back at once. */
-  private async tellGuard(
-    flow: Flow,
+  /**
+   * Reports the result of an attempt to the guard. Resolves only after the end of a back end is recorded, since the
+   * caller retries as soon as it is told of the failure and other routers must know of the suspect by then.
+   */
+  private async reportToGuard(
+    routed: RoutedRequest,
     backend: GuardedBackend,
     result: AttemptResult,
-    how: Pick<GuardedRun, 'startedMs' | 'alone' | 'clearance'>,
+    details: Pick<GuardedRun, 'startedMs' | 'alone' | 'clearance'>,
   ): Promise<void> {
-    const { identity } = flow;
+    const { identity } = routed;
     if (identity === null) return;
-    const run = { ...how, requestId: requestIdOf(flow.request), request: identity };
+    const run = { ...details, requestId: requestIdOf(routed.request), request: identity };
     const { guard } = this.state;
     const isBroken =
       result.kind === 'cut' || (result.kind === 'failed' && result.failure.kind === 'no-answer');
-    if (isBroken) await guard.broke(run, backend);
+    if (isBroken) await guard.runInterrupted(run, backend);
     else if (result.kind === 'answered') guard.answered(run, backend, result.statusCode);
-    else guard.giveBack(how.clearance, result.kind !== 'failed' || result.failure.kind !== 'not-sent');
+    else
+      guard.releaseClearance(
+        details.clearance,
+        result.kind !== 'failed' || result.failure.kind !== 'not-sent',
+      );
   }
 
-  private attemptRequest(flow: Flow, target: Target): Parameters<typeof forwardAttempt>[1] {
-    const budgetMs = Math.max(1, flow.deadlineMs - clockMs());
-    const headers = [...flow.headers, REQUEST_HEADERS.deadline, String(Math.floor(budgetMs))];
+  private attemptRequest(routed: RoutedRequest, target: Target): Parameters<typeof forwardAttempt>[1] {
+    const budgetMs = Math.max(1, routed.deadlineMs - clockMs());
+    const headers = [...routed.headers, REQUEST_HEADERS.deadline, String(Math.floor(budgetMs))];
     headers.push(REQUEST_HEADERS.attempt, randomUUID());
     if (target.fence !== null) {
       headers.push(REQUEST_HEADERS.shard, String(target.fence.shard));
       headers.push(REQUEST_HEADERS.epoch, String(target.fence.epoch));
     }
-    const { method = 'GET', url = '/' } = flow.request;
-    return { method, path: url, headers, body: flow.body.content, budgetMs };
+    const { method = 'GET', url = '/' } = routed.request;
+    return { method, path: url, headers, body: routed.body.content, budgetMs };
   }
 
-  private observeFailure(backend: BackendState, failure: AttemptFailure): void {
+  private recordFailure(backend: BackendState, failure: AttemptFailure): void {
     const nowMs = clockMs();
     switch (failure.kind) {
       case 'refused':
         backend.health.answered();
         break;
       case 'not-sent':
-        backend.health.connectionRefused(nowMs);
+        backend.health.recordConnectionRefused(nowMs);
         break;
       case 'no-answer':
-        backend.health.unansweredRequest(nowMs);
+        backend.health.recordUnansweredRequest(nowMs);
         break;
       case 'deadline-passed':
-        if (failure.sent) backend.health.unansweredRequest(nowMs);
+        if (failure.sent) backend.health.recordUnansweredRequest(nowMs);
         break;
     }
   }
 
-  private async afterFailure(flow: Flow, failure: AttemptFailure): Promise<FlowEnd | null> {
+  private async afterFailure(routed: RoutedRequest, failure: AttemptFailure): Promise<RequestEnd | null> {
     const decision = decideAfterFailure(failure, {
-      repeatable: flow.repeatable && !this.isQuarantined(flow),
-      bodyAvailable: flow.body.repeatable,
-      attempts: flow.attempts,
-      remainingMs: flow.deadlineMs - clockMs(),
-      takeRetry: () => flow.budget.tryTake(),
+      repeatable: routed.repeatable && !this.isQuarantined(routed),
+      bodyAvailable: routed.body.repeatable,
+      attempts: routed.attempts,
+      remainingMs: routed.deadlineMs - clockMs(),
+      takeRetry: () => routed.budget.tryConsume(),
     });
-    if (decision.kind === 'end') return this.refuse(flow.response, decision.refusal);
-    this.state.retried();
-    await this.pause(flow, decision.pauseMs);
-    if (flow.waitedMs < this.state.settings.ownerWaitMs) return null;
+    if (decision.kind === 'end') return this.refuse(routed.response, decision.refusal);
+    this.state.countRetry();
+    await this.awaitTableUpdate(routed, decision.pauseMs);
+    if (routed.waitedMs < this.state.settings.ownerWaitMs) return null;
     return this.refuse(
-      flow.response,
-      refusal('no-owner', `${flow.serviceName} is changing owner`, OWNER_RETRY_AFTER_MS),
+      routed.response,
+      refusal('no-owner', `${routed.serviceName} is changing owner`, OWNER_RETRY_AFTER_MS),
     );
   }
 
-  private isQuarantined({ identity }: Flow): boolean {
-    return identity !== null && this.state.guard.judge(identity).stage === 'quarantined';
+  private isQuarantined({ identity }: RoutedRequest): boolean {
+    return identity !== null && this.state.guard.quarantineStatus(identity).stage === 'quarantined';
   }
 
-  /** Whether it may run by permit only, or not at all. */
-  private isHeld({ identity }: Flow): boolean {
-    return identity !== null && this.state.guard.judge(identity).stage !== 'free';
+  /** Whether the request may run only by permit, or not at all. */
+  private isRestricted({ identity }: RoutedRequest): boolean {
+    return identity !== null && this.state.guard.quarantineStatus(identity).stage !== 'free';
   }
 
-  private refuse(response: ServerResponse, given: Refusal): FlowEnd {
+  private refuse(response: ServerResponse, refused: Refusal): RequestEnd {
     if (response.headersSent || response.destroyed) return 'caller-gone';
-    const { status, headers, body } = refusalResponse(given);
+    const { status, headers, body } = refusalResponse(refused);
     response.writeHead(status, headers);
     response.end(body);
-    return given.code;
+    return refused.code;
   }
 }
 
 const REQUEST_ID_HEADER = 'x-request-id';
 
-function quarantined(): Refusal {
+function quarantineRefusal(): Refusal {
   return refusal('quarantined', 'it has ended the back ends that ran it', null);
 }
 
@@ -292,18 +308,21 @@
   return typeof id === 'string' ? id : '';
 }
 
-function identityOf(
+function identifyRequest(
   { method = 'GET', url = '/', rawHeaders }: IncomingMessage,
   { content }: RequestBody,
   key: string | null,
 ): IdentifiedRequest | null {
   if (content !== null && !Buffer.isBuffer(content)) return null;
-  // The host names the router that was called; the same request may come to another one next.
+  // The Host header names the router that was called; a retry of the same request may reach another router.
   return { method, host: null, path: url, headers: rawHeaders, key, body: content ?? Buffer.alloc(0) };
 }
 
-/** A request that may not be repeated goes where its idempotency key is claimed, also in a spread service. */
-function claimKey(repeatable: boolean, key: string | null): string | null {
+/**
+ * Key by which a non-repeatable request is routed to the back end where its idempotency key is claimed, even in a
+ * service without keyed division.
+ */
+function claimRoutingKey(repeatable: boolean, key: string | null): string | null {
   return repeatable ? null : key;
 }
 
@@ -311,14 +330,14 @@
   return `the key is taken from ${JSON.stringify(service.key)}`;
 }
 
-/** Headers of the caller for the back end, without those of the connection and those that the router sets. */
+/** Returns the caller's headers without connection headers and without those that the router sets itself. */
 function forwardedHeaders(rawHeaders: readonly string[]): string[] {
-  const kept: string[] = [];
-  for (let at = 0; at + 1 < rawHeaders.length; at += 2) {
-    const name = rawHeaders[at]?.toLowerCase() ?? '';
-    const isRouters = name.startsWith('aldertide-') || name === 'expect';
-    if (CONNECTION_HEADERS.has(name) || isRouters) continue;
-    kept.push(name, rawHeaders[at + 1] ?? '');
+  const forwarded: string[] = [];
+  for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
+    const name = rawHeaders[index]?.toLowerCase() ?? '';
+    const isSetByRouter = name.startsWith('aldertide-') || name === 'expect';
+    if (CONNECTION_HEADERS.has(name) || isSetByRouter) continue;
+    forwarded.push(name, rawHeaders[index + 1] ?? '');
   }
-  return kept;
+  return forwarded;
 }
--- a/src/router/retry-budget.ts
+++ b/src/router/retry-budget.ts
@@ -1,24 +1,24 @@
-/** Limits retries to a share of the requests, so that retries cannot multiply an overload. */
+/** Limits retries to a fraction of the requests, so that retries cannot amplify an overload. */
 
-/** Retries earned by one request. */
+/** Retries added to the budget per request. */
 const RETRIES_PER_REQUEST = 0.1;
 
-/** Retries that may be saved up; also the number that a router starts with. */
-const MAX_SAVED_RETRIES = 20;
+/** Maximum balance of the budget in retries; also the initial balance. */
+const MAX_BALANCE = 20;
 
-/** A router's budget for one service. */
+/** Retry budget of a router for one service. */
 export class RetryBudget {
-  private saved = MAX_SAVED_RETRIES;
+  private balance = MAX_BALANCE;
 
-  /** A first attempt was made. */
+  /** Credits the budget for a new request. */
   requestStarted(): void {
-    this.saved = Math.min(MAX_SAVED_RETRIES, this.saved + RETRIES_PER_REQUEST);
+    this.balance = Math.min(MAX_BALANCE, this.balance + RETRIES_PER_REQUEST);
   }
 
-  /** Takes one retry; false when none is left. */
-  tryTake(): boolean {
-    if (this.saved < 1) return false;
-    this.saved -= 1;
+  /** Consumes one retry; false if none is left. */
+  tryConsume(): boolean {
+    if (this.balance < 1) return false;
+    this.balance -= 1;
     return true;
   }
 }
--- a/src/router/router-node.ts
+++ b/src/router/router-node.ts
@@ -1,4 +1,4 @@
-/** A running router: its table, its HTTP listener, and an orderly stop. */
+/** Assembles a router process: table watch, HTTP listener, metrics and graceful shutdown. */
 import { clockMs } from '../runtime/clock.js';
 import 'reflect-metadata';
 import { Module } from '@nestjs/common';
@@ -18,9 +18,10 @@
 import { RouterState } from './router-state.js';
 
 /** Upper bounds of the request time histogram, in ms. */
-const TIME_BUCKETS_MS = [0.5, 1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000];
+const REQUEST_TIME_BUCKETS_MS = [0.5, 1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000];
 
-const STOP_POLL_MS = 20;
+/** Interval between checks for requests in flight during shutdown, in ms. */
+const DRAIN_POLL_INTERVAL_MS = 20;
 
 @Module({})
 class RouterModule {}
@@ -31,31 +32,31 @@
     private readonly application: NestFastifyApplication,
     private readonly state: RouterState,
     private readonly watch: ControlWatch,
-    private readonly calls: LeaderCalls,
+    private readonly leaderCalls: LeaderCalls,
     private readonly logger: Logger,
   ) {}
 
-  /** Connects to control and starts to listen. */
+  /** Connects to control and starts listening. */
   static async start(
     settings: RouterSettings,
     token: string,
     logger: Logger,
   ): Promise<Result<RouterNode, string>> {
     const registry = createRegistry();
-    const time = requestTimeHistogram(registry);
+    const requestTime = requestTimeHistogram(registry);
     const { name, zone, control } = settings;
     const identity = { role: 'router', name, zone, token } as const;
-    const calls: LeaderCalls = new LeaderCalls(nodeRuntime, identity, control, (notice) => {
+    const leaderCalls: LeaderCalls = new LeaderCalls(nodeRuntime, identity, control, (notice) => {
       if (notice.kind === 'end-recorded' || notice.kind === 'run-permitted') state.guard.receive(notice);
     });
     const state = new RouterState(
       settings,
       (ms) => {
-        time.observe(ms);
+        requestTime.observe(ms);
       },
       {
         runtime: nodeRuntime,
-        send: (request) => calls.send(request),
+        send: (request) => leaderCalls.send(request),
         log: (event, fields) => {
           logger.warn(event, fields);
         },
@@ -76,10 +77,10 @@
       );
     }
     logger.info('router listens', settings.listen);
-    return Ok(new RouterNode(application, state, watch, calls, logger));
+    return Ok(new RouterNode(application, state, watch, leaderCalls, logger));
   }
 
-  /** Accepts nothing new, finishes what is under way for at most `drainMs`, then stops. */
+  /** Stops accepting connections, lets requests in flight finish for at most `drainMs`, then stops. */
   async stop(drainMs: number): Promise<void> {
     const server = this.application.getHttpServer();
     const closed = new Promise<void>((resolve) => {
@@ -89,13 +90,13 @@
     });
     server.closeIdleConnections();
     const untilMs = clockMs() + drainMs;
-    while (this.state.inFlight > 0 && clockMs() < untilMs) await pause(STOP_POLL_MS);
+    while (this.state.inFlight > 0 && clockMs() < untilMs) await pause(DRAIN_POLL_INTERVAL_MS);
     if (this.state.inFlight > 0) this.logger.warn('requests were cut off', { count: this.state.inFlight });
     server.closeIdleConnections();
-    await Promise.race([closed, pause(STOP_POLL_MS)]);
+    await Promise.race([closed, pause(DRAIN_POLL_INTERVAL_MS)]);
     server.closeAllConnections();
     this.watch.stop();
-    this.calls.stop();
+    this.leaderCalls.stop();
     await this.state.backends.close();
   }
 }
@@ -116,12 +117,12 @@
     logger: false,
     bodyParser: false,
   });
-  routeEverythingElse(adapter, new RequestRouter(state));
+  registerCatchAllRoute(adapter, new RequestRouter(state));
   return application;
 }
 
-/** The hot path: a route of Fastify's own, past Nest's pipeline, with the body left unread. */
-function routeEverythingElse(adapter: FastifyAdapter, router: RequestRouter): void {
+/** Registers the hot path as a plain Fastify route that bypasses Nest's pipeline and leaves the body unread. */
+function registerCatchAllRoute(adapter: FastifyAdapter, router: RequestRouter): void {
   const fastify = adapter.getInstance();
   fastify.removeAllContentTypeParsers();
   fastify.addContentTypeParser('*', (_request, _payload, done) => {
@@ -137,7 +138,7 @@
   return new Histogram({
     name: 'aldertide_request_ms',
     help: 'Time from the arrival of a request to the end of its answer, in ms',
-    buckets: TIME_BUCKETS_MS,
+    buckets: REQUEST_TIME_BUCKETS_MS,
     registers: [registry],
   });
 }
--- a/src/router/router-state.ts
+++ b/src/router/router-state.ts
@@ -1,4 +1,4 @@
-/** The shared state of one router: table, back ends, budgets, counters. */
+/** Shared state of one router: table, back ends, retry budgets and counters. */
 import { clockMs } from '../runtime/clock.js';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
@@ -6,7 +6,7 @@
 import { WatchedTable } from '../control-client/watched-table.js';
 import { BackendStates } from './backend-state.js';
 import { BackendHealth } from './backend-health.js';
-import type { FlowEnd } from './request-router.js';
+import type { RequestEnd } from './request-router.js';
 import { RetryBudget } from './retry-budget.js';
 import { RunGuard, type RunGuardPorts } from './run-guard.js';
 import { TableWaiters } from './table-waiters.js';
@@ -16,28 +16,28 @@
 export interface RouterCounters {
   started: number;
   retries: number;
-  readonly ended: Map<FlowEnd, number>;
+  readonly ended: Map<RequestEnd, number>;
 }
 
-/** How a router reaches control and its log. */
+/** Runtime, control connection and log that a router uses. */
 export type RouterPorts = Pick<RunGuardPorts, 'runtime' | 'send' | 'log'>;
 
 /** State of one router. */
 export class RouterState {
   readonly table = new WatchedTable();
-  readonly waiters = new TableWaiters();
+  readonly tableWaiters = new TableWaiters();
   readonly backends: BackendStates;
   readonly counters: RouterCounters = { started: 0, retries: 0, ended: new Map() };
-  readonly view: RoutingView;
-  /** Knows requests under which back ends end. */
+  readonly routingView: RoutingView;
+  /** Restricts requests that back ends have crashed on. */
   readonly guard: RunGuard;
   private readonly budgets = new Map<string, RetryBudget>();
   private available = new Map<string, readonly string[]>();
-  private readonly generator = xoroshiro128plus(Date.now());
+  private readonly randomGenerator = xoroshiro128plus(Date.now());
 
   constructor(
     readonly settings: RouterSettings,
-    private readonly observeMs: (ms: number) => void,
+    private readonly observeDurationMs: (ms: number) => void,
     ports: RouterPorts,
   ) {
     this.guard = new RunGuard({
@@ -50,51 +50,52 @@
       settings.maxQueuedPerBackend,
       settings.backendAddresses,
     );
-    this.view = {
+    this.routingView = {
       row: (service, shard) => this.table.row(service, shard),
       availableBackends: (service) => this.available.get(service) ?? [],
       admits: (backend) => this.backends.peek(backend)?.health.admits(clockMs()) ?? true,
       loadOf: (backend) => this.loadOf(backend),
-      random: (limit) => uniformInt(this.generator, 0, limit - 1),
+      random: (limit) => uniformInt(this.randomGenerator, 0, limit - 1),
     };
   }
 
-  /** Requests that have started and not ended. */
+  /** Number of requests that have started and not ended. */
   get inFlight(): number {
     const ended = [...this.counters.ended.values()].reduce((sum, count) => sum + count, 0);
     return this.counters.started - ended;
   }
 
-  /** The table has changed: works out who is available and wakes the requests that wait. */
+  /** Handles a table change: recomputes the available back ends and wakes the waiting requests. */
   tableChanged(): void {
     this.available = this.availableByService();
     this.backends.resize(this.table.services);
-    for (const session of this.table.sessions.values()) this.noteSession(session.backend, session.id);
-    this.waiters.updated();
+    for (const session of this.table.sessions.values())
+      this.resetHealthOnNewSession(session.backend, session.id);
+    this.tableWaiters.notifyUpdated();
   }
 
-  /** The retry budget of a service. */
+  /** Returns the retry budget of a service, creating it if needed. */
   budgetOf(service: string): RetryBudget {
-    const known = this.budgets.get(service);
-    if (known !== undefined) return known;
+    const existing = this.budgets.get(service);
+    if (existing !== undefined) return existing;
     const budget = new RetryBudget();
     this.budgets.set(service, budget);
     return budget;
   }
 
-  /** Counts a request. */
+  /** Counts a started request. */
   requestStarted(): void {
     this.counters.started += 1;
   }
 
-  /** Counts the end of a request and its time. */
-  requestEnded(end: FlowEnd, ms: number): void {
+  /** Counts an ended request and observes its duration. */
+  requestEnded(end: RequestEnd, ms: number): void {
     this.counters.ended.set(end, (this.counters.ended.get(end) ?? 0) + 1);
-    this.observeMs(ms);
+    this.observeDurationMs(ms);
   }
 
   /** Counts a retry. */
-  retried(): void {
+  countRetry(): void {
     this.counters.retries += 1;
   }
 
@@ -115,8 +116,8 @@
     return available;
   }
 
-  /** A new session means a new life of the back end: what was seen of the earlier one no longer counts. */
-  private noteSession(backend: string, session: number): void {
+  /** Resets the health of a back end on a new session: it may be another incarnation, so earlier observations are void. */
+  private resetHealthOnNewSession(backend: string, session: number): void {
     const state = this.backends.peek(backend);
     if (state === undefined || state.session === session) return;
     state.session = session;
--- a/src/router/run-guard.ts
+++ b/src/router/run-guard.ts
@@ -1,7 +1,7 @@
 /**
- * Requests under which back ends end, as one router sees them: which may be tried, and what to tell control. A router shares
- * its back ends with others and cannot keep one free of their requests, so a suspect runs by permit, beside what others send
- * there; it counts as alone where this router ran nothing else.
+ * Restricts requests that back ends crash on, for one router: decides which may run, and reports crashes to control.
+ * A router shares its back ends with other routers and cannot keep one clear of their requests, so a suspect runs by
+ * permit alongside requests of other routers; it counts as alone if this router had nothing else in flight there.
  */
 import { sessionLife } from '../control/control-state.js';
 import type { SocketAddress } from '../model/socket-address.js';
@@ -17,106 +17,110 @@
 import type { EventFields } from '../telemetry/event-log.js';
 import { listensAt } from '../transport/listen-check.js';
 
-/** Longest wait for a permit, in ms: some runs of the same request elsewhere. */
-const LONGEST_PERMIT_WAIT_MS = 600;
+/** Maximum wait for a permit, in ms: long enough for a few runs of the same request elsewhere. */
+const MAX_PERMIT_WAIT_MS = 600;
 
-/** Pause between looks at a permit that is awaited, in ms. */
-const PERMIT_LOOK_MS = 20;
+/** Interval between checks for an awaited permit, in ms. */
+const PERMIT_POLL_INTERVAL_MS = 20;
 
-/** Back ends of this stack tell no version of their software: a session after a repair looks like any other. */
+/** Back ends behind a router report no software version, so a session after a fix cannot be told from any other. */
 const NO_VERSION = '';
 
-/** What the guard needs of its router. */
+/** Dependencies of the guard. */
 export interface RunGuardPorts {
   readonly runtime: Runtime;
   readonly quarantine: QuarantineView;
   readonly send: (request: RunRequest) => boolean;
-  /** The session of a back end; null while it has none. */
+  /** Returns the session of a back end; null while it has none. */
   readonly sessionOf: (backend: string) => number | null;
   readonly log: (event: string, fields: EventFields) => void;
 }
 
-/** A back end that a request goes to. */
+/** Back end that a request is sent to. */
 export interface GuardedBackend {
   readonly name: string;
   readonly service: string;
   readonly address: SocketAddress;
 }
 
-/** A run that was begun. */
+/** A run that was started. */
 export interface GuardedRun {
   readonly requestId: string;
   readonly request: IdentifiedRequest;
   readonly startedMs: number;
-  /** Whether this router ran nothing else at the back end. */
+  /** Whether this router had no other request in flight at the back end. */
   readonly alone: boolean;
   readonly clearance: Clearance;
 }
 
-/** Whether a request may run. */
+/** Permission to run a request. */
 export type Clearance =
   | { readonly kind: 'free' }
-  /** Once, by a permit that is to be given back. */
+  /** May run once, by a permit that must be released afterwards. */
   | { readonly kind: 'permitted'; readonly fingerprint: string }
   | { readonly kind: 'refused' };
 
-interface Watched {
+interface BackendMonitor {
   readonly interrupted: InterruptedRuns;
   readonly reporter: EndReporter;
 }
 
-/** The guard of one router. */
+/** Run guard of one router. */
 export class RunGuard {
-  private readonly backends = new Map<string, Watched>();
+  private readonly backends = new Map<string, BackendMonitor>();
   private readonly permits: RunPermits;
-  /** Suspects that run now. */
+  /** Fingerprints of the suspects in flight. */
   private readonly running = new Set<string>();
 
   constructor(private readonly ports: RunGuardPorts) {
     this.permits = new RunPermits({
       runtime: ports.runtime,
       send: ports.send,
-      isPresent: (life) => this.isPresent(life),
+      isPresent: (incarnation) => this.isPresent(incarnation),
       onPermit: () => undefined,
     });
   }
 
-  /** What holds for a request. */
-  judge(request: IdentifiedRequest): Judged {
+  /** Returns the quarantine status of a request. */
+  quarantineStatus(request: IdentifiedRequest): Judged {
     return this.ports.quarantine.judge(request, NO_VERSION);
   }
 
-  /** Waits until a request may run at a back end, as long as it is treated as a suspect. */
+  /** Waits until a request may run at a back end; returns at once unless the request is a suspect. */
   async acquire(request: IdentifiedRequest, backend: GuardedBackend, untilMs: number): Promise<Clearance> {
     const { runtime } = this.ports;
-    const endMs = Math.min(untilMs, runtime.nowMs() + LONGEST_PERMIT_WAIT_MS);
+    const endMs = Math.min(untilMs, runtime.nowMs() + MAX_PERMIT_WAIT_MS);
     for (;;) {
-      const { stage, fingerprint } = this.judge(request);
+      const { stage, fingerprint } = this.quarantineStatus(request);
       if (stage === 'free' || fingerprint === null) return { kind: 'free' };
-      const life = this.lifeOf(backend);
-      if (stage === 'quarantined' || life === null || runtime.nowMs() >= endMs) return { kind: 'refused' };
-      if (this.permits.holds(fingerprint, life.id) && !this.running.has(fingerprint)) {
+      const incarnation = this.incarnationOf(backend);
+      if (stage === 'quarantined' || incarnation === null || runtime.nowMs() >= endMs)
+        return { kind: 'refused' };
+      if (this.permits.holds(fingerprint, incarnation.id) && !this.running.has(fingerprint)) {
         this.running.add(fingerprint);
         return { kind: 'permitted', fingerprint };
       }
-      this.permits.ask(fingerprint, life);
-      await pause(this.ports.runtime, PERMIT_LOOK_MS);
+      this.permits.ask(fingerprint, incarnation);
+      await pause(this.ports.runtime, PERMIT_POLL_INTERVAL_MS);
     }
   }
 
-  /** A run has ended with an answer of the back end. */
+  /** Records that a run ended with an answer of the back end. */
   answered(run: GuardedRun, backend: GuardedBackend, statusCode: number): void {
     this.watched(backend).interrupted.backendAnswered(this.ports.runtime.nowMs());
-    const { fingerprint, record } = this.judge(run.request);
-    const says = saysOfRun(statusCode);
-    if (says !== null && record !== null && fingerprint !== null) {
-      this.permits.completed(fingerprint, NO_VERSION, says === 'good');
+    const { fingerprint, record } = this.quarantineStatus(run.request);
+    const verdict = saysOfRun(statusCode);
+    if (verdict !== null && record !== null && fingerprint !== null) {
+      this.permits.completed(fingerprint, NO_VERSION, verdict === 'good');
     }
-    this.giveBack(run.clearance, true);
+    this.releaseClearance(run.clearance, true);
   }
 
-  /** A run has ended without an answer; resolves once it is known whether its back end ended, and that is recorded. */
-  async broke(run: GuardedRun, backend: GuardedBackend): Promise<void> {
+  /**
+   * Records that a run ended without an answer. Resolves once it is known whether its back end has ended and, if so,
+   * the end is recorded.
+   */
+  async runInterrupted(run: GuardedRun, backend: GuardedBackend): Promise<void> {
     const endedMs = this.ports.runtime.nowMs();
     const { interrupted, reporter } = this.watched(backend);
     const fingerprint = requestFingerprint(run.request);
@@ -124,25 +128,25 @@
     const usedMs = Math.round(endedMs - startedMs);
     interrupted.note({ requestId, fingerprint, byBackend: true, alone, endedMs, usedMs });
     await reporter.runBroke();
-    this.giveBack(run.clearance, true);
+    this.releaseClearance(run.clearance, true);
   }
 
-  /** A cleared request was not run, or was broken off from here; `begun`: it may have reached the back end. */
-  giveBack(clearance: Clearance, begun: boolean): void {
+  /** Releases the permit of a request; `begun` is true if the request may have reached the back end. */
+  releaseClearance(clearance: Clearance, begun: boolean): void {
     if (clearance.kind !== 'permitted') return;
     this.running.delete(clearance.fingerprint);
     this.permits.release(clearance.fingerprint, begun);
   }
 
-  /** Takes an answer of control. */
+  /** Handles an answer of control. */
   receive(notice: RunNotice): void {
     this.permits.receive(notice);
     for (const { reporter } of this.backends.values()) reporter.receive(notice);
   }
 
-  private watched(backend: GuardedBackend): Watched {
-    const known = this.backends.get(backend.name);
-    if (known !== undefined) return known;
+  private watched(backend: GuardedBackend): BackendMonitor {
+    const existing = this.backends.get(backend.name);
+    if (existing !== undefined) return existing;
     const interrupted = new InterruptedRuns();
     const reporter = new EndReporter({
       runtime: this.ports.runtime,
@@ -152,23 +156,23 @@
         },
       },
       interrupted,
-      life: () => this.lifeOf(backend),
+      life: () => this.incarnationOf(backend),
       listens: async () => await listensAt(backend.address),
       send: this.ports.send,
     });
-    const watched = { interrupted, reporter };
-    this.backends.set(backend.name, watched);
-    return watched;
+    const monitor = { interrupted, reporter };
+    this.backends.set(backend.name, monitor);
+    return monitor;
   }
 
-  private lifeOf({ name, service }: GuardedBackend): EndedLife | null {
+  private incarnationOf({ name, service }: GuardedBackend): EndedLife | null {
     const session = this.ports.sessionOf(name);
     return session === null ? null : { id: sessionLife(name, session), service, version: NO_VERSION };
   }
 
-  private isPresent(life: string): boolean {
-    const name = life.slice(0, life.lastIndexOf('#'));
+  private isPresent(incarnation: string): boolean {
+    const name = incarnation.slice(0, incarnation.lastIndexOf('#'));
     const session = this.ports.sessionOf(name);
-    return session !== null && sessionLife(name, session) === life;
+    return session !== null && sessionLife(name, session) === incarnation;
   }
 }
--- a/src/router/slot-limiter.ts
+++ b/src/router/slot-limiter.ts
@@ -1,14 +1,15 @@
 /**
- * Slots of one back end as this router may use them, and the queue in front of them. A request that cannot
- * get a slot within its time is refused when it arrives, not when its time is up.
+ * Limits the requests of this router in flight at one back end, with a queue. A request that is not expected to
+ * get a slot within its time budget is refused on arrival instead of at its deadline.
  */
 
-/** Weight of the newest time in the smoothed time that a request holds its slot. */
-const SMOOTHING = 0.1;
+/** Weight of the newest sample in the moving average (EWMA) of the time that a request holds its slot. */
+const EWMA_WEIGHT = 0.1;
 
+/** Lower bound of the retry-after of a refused request, in ms. */
 const MIN_RETRY_AFTER_MS = 20;
 
-/** What became of a request for a slot. */
+/** Result of a request for a slot. */
 export type SlotOutcome =
   | { readonly kind: 'granted' }
   | { readonly kind: 'refused'; readonly retryAfterMs: number }
@@ -19,36 +20,36 @@
   readonly timer: NodeJS.Timeout;
 }
 
-const GRANTED: SlotOutcome = { kind: 'granted' };
+const SLOT_GRANTED: SlotOutcome = { kind: 'granted' };
 
-/** Slots of one back end. */
+/** Concurrency limiter for one back end. */
 export class SlotLimiter {
   private inUse = 0;
   private readonly queue: Waiter[] = [];
-  private smoothedHoldMs = 0;
+  private averageHoldMs = 0;
 
   constructor(
     private slots: number,
     private readonly maxQueued: number,
   ) {}
 
-  /** Requests that hold a slot now. */
+  /** Number of requests that hold a slot. */
   get inFlight(): number {
     return this.inUse;
   }
 
-  /** Requests that wait for a slot now. */
+  /** Number of requests that wait for a slot. */
   get queued(): number {
     return this.queue.length;
   }
 
-  /** Changes the number of slots; requests that hold one keep it. */
+  /** Changes the number of slots; requests that hold a slot keep it. */
   resize(slots: number): void {
     this.slots = slots;
     this.admitWaiting();
   }
 
-  /** Takes a slot if one is free and nobody waits. */
+  /** Acquires a slot if one is free and the queue is empty. */
   tryAcquire(): boolean {
     if (this.inUse >= this.slots || this.queue.length > 0) return false;
     this.inUse += 1;
@@ -57,7 +58,7 @@
 
   /** Waits for a slot for at most `budgetMs`. */
   async acquire(budgetMs: number): Promise<SlotOutcome> {
-    if (this.tryAcquire()) return GRANTED;
+    if (this.tryAcquire()) return SLOT_GRANTED;
     const expectedMs = this.expectedWaitMs();
     if (this.queue.length >= this.maxQueued || expectedMs > budgetMs) {
       return { kind: 'refused', retryAfterMs: Math.max(MIN_RETRY_AFTER_MS, expectedMs) };
@@ -74,21 +75,21 @@
     });
   }
 
-  /** Gives a slot back after it was held for `heldMs`. */
+  /** Releases a slot that was held for `heldMs`. */
   release(heldMs: number): void {
-    this.smoothedHoldMs += SMOOTHING * (heldMs - this.smoothedHoldMs);
+    this.averageHoldMs += EWMA_WEIGHT * (heldMs - this.averageHoldMs);
     this.releaseUnused();
   }
 
-  /** Gives a slot back that nothing was sent for. */
+  /** Releases a slot that was not used to send a request. */
   releaseUnused(): void {
     this.inUse -= 1;
     this.admitWaiting();
   }
 
-  /** How long a request that joins the queue now would wait. */
+  /** Estimates the wait of a request that joins the queue now, in ms. */
   private expectedWaitMs(): number {
-    return ((this.queue.length + 1) * this.smoothedHoldMs) / Math.max(1, this.slots);
+    return ((this.queue.length + 1) * this.averageHoldMs) / Math.max(1, this.slots);
   }
 
   private admitWaiting(): void {
@@ -97,7 +98,7 @@
       if (waiter === undefined) return;
       clearTimeout(waiter.timer);
       this.inUse += 1;
-      waiter.settle(GRANTED);
+      waiter.settle(SLOT_GRANTED);
     }
   }
 }
--- a/src/router/table-waiters.ts
+++ b/src/router/table-waiters.ts
@@ -1,16 +1,16 @@
-/** Requests that wait for a newer table. */
+/** Wait queue of requests that need a newer table. */
 
 interface Waiter {
   readonly resolve: (updated: boolean) => void;
   readonly timer: NodeJS.Timeout;
 }
 
-/** A queue that every table update empties. */
+/** Wait queue that is emptied by every table update. */
 export class TableWaiters {
   private readonly waiting = new Set<Waiter>();
 
-  /** Waits for the next update, for at most `timeoutMs`; tells whether there was one. */
-  async next(timeoutMs: number): Promise<boolean> {
+  /** Waits for the next update for at most `timeoutMs`; resolves to whether there was one. */
+  async nextUpdate(timeoutMs: number): Promise<boolean> {
     if (timeoutMs <= 0) return false;
     return await new Promise((resolve) => {
       const waiter: Waiter = {
@@ -24,8 +24,8 @@
     });
   }
 
-  /** The table was updated. */
-  updated(): void {
+  /** Wakes all waiters after a table update. */
+  notifyUpdated(): void {
     for (const { resolve, timer } of this.waiting) {
       clearTimeout(timer);
       resolve(true);
--- a/test/router/attempt-policy.test.ts
+++ b/test/router/attempt-policy.test.ts
@@ -12,7 +12,7 @@
   readonly bodyAvailable?: boolean;
   readonly attempts?: number;
   readonly budget?: boolean;
-  /** `retry`, or the code and the outcome of the refusal. */
+  /** `retry`, or code and outcome of the refusal. */
   readonly expected: string;
 }
 
@@ -34,7 +34,7 @@
   },
   { name: 'a repeatable request got no answer', failure: { kind: 'no-answer' }, expected: 'retry' },
   {
-    name: 'a repeatable request got no answer and its body is gone',
+    name: 'a repeatable request got no answer and its body is not available any more',
     failure: { kind: 'no-answer' },
     bodyAvailable: false,
     expected: 'outcome-unknown unknown',
@@ -49,8 +49,8 @@
     failure: { kind: 'deadline-passed', sent: true },
     expected: 'outcome-unknown unknown',
   },
-  { name: 'fenced off', failure: { ...REFUSED, code: 'not-owner' }, repeatable: false, expected: 'retry' },
-  { name: 'lease ran out', failure: { ...REFUSED, code: 'lease-expired' }, expected: 'retry' },
+  { name: 'not the owner', failure: { ...REFUSED, code: 'not-owner' }, repeatable: false, expected: 'retry' },
+  { name: 'lease expired', failure: { ...REFUSED, code: 'lease-expired' }, expected: 'retry' },
   { name: 'releasing', failure: { ...REFUSED, code: 'releasing' }, repeatable: false, expected: 'retry' },
   {
     name: 'too many attempts',
@@ -59,30 +59,34 @@
     expected: 'no-owner not-run',
   },
   { name: 'leaving', failure: { ...REFUSED, code: 'draining' }, repeatable: false, expected: 'retry' },
-  { name: 'shedding', failure: { ...REFUSED, code: 'overloaded' }, expected: 'overloaded not-run' },
-  { name: 'too late', failure: { ...REFUSED, code: 'deadline-passed' }, expected: 'deadline-passed not-run' },
+  { name: 'overloaded', failure: { ...REFUSED, code: 'overloaded' }, expected: 'overloaded not-run' },
+  {
+    name: 'the deadline passed at the back end',
+    failure: { ...REFUSED, code: 'deadline-passed' },
+    expected: 'deadline-passed not-run',
+  },
   {
     name: 'the window was lost',
     failure: { ...REFUSED, code: 'freshness-unproven' },
     expected: 'freshness-unproven unknown',
   },
   {
-    name: 'an earlier attempt runs',
+    name: 'an earlier attempt is running',
     failure: { ...REFUSED, code: 'in-progress' },
     expected: 'in-progress unknown',
   },
 ];
 
-for (const given of CASES) {
-  test(`after failure: ${given.name}`, (t) => {
-    const decision = decideAfterFailure(given.failure, {
-      repeatable: given.repeatable ?? true,
-      bodyAvailable: given.bodyAvailable ?? true,
-      attempts: given.attempts ?? 1,
+for (const testCase of CASES) {
+  test(`after failure: ${testCase.name}`, (t) => {
+    const decision = decideAfterFailure(testCase.failure, {
+      repeatable: testCase.repeatable ?? true,
+      bodyAvailable: testCase.bodyAvailable ?? true,
+      attempts: testCase.attempts ?? 1,
       remainingMs: 1_000,
-      takeRetry: () => given.budget ?? true,
+      takeRetry: () => testCase.budget ?? true,
     });
-    const { expected } = given;
+    const { expected } = testCase;
     if (decision.kind === 'end' && expected.startsWith('outcome-unknown')) {
       t.is(decision.refusal.retryAfterMs, OWNER_RETRY_AFTER_MS);
     }
--- a/test/router/request-key.test.ts
+++ b/test/router/request-key.test.ts
@@ -28,20 +28,20 @@
   });
 }
 
-test('a request may be repeated by its method, unless the longest matching rule says otherwise', (t) => {
-  const given = service([
+test('the method decides whether a request is repeatable, unless an endpoint rule matches; the longest match wins', (t) => {
+  const configured = service([
     { method: 'POST', path: '/search', repeatable: true },
     { method: 'POST', path: '/search/save', repeatable: false },
     { method: 'GET', path: '/next', repeatable: false },
   ]);
-  t.true(isRepeatable(given, 'GET', '/items/1'));
-  t.false(isRepeatable(given, 'POST', '/items/1'));
-  t.true(isRepeatable(given, 'POST', '/search/1'));
-  t.false(isRepeatable(given, 'POST', '/search/save/1'));
-  t.false(isRepeatable(given, 'GET', '/next'));
+  t.true(isRepeatable(configured, 'GET', '/items/1'));
+  t.false(isRepeatable(configured, 'POST', '/items/1'));
+  t.true(isRepeatable(configured, 'POST', '/search/1'));
+  t.false(isRepeatable(configured, 'POST', '/search/save/1'));
+  t.false(isRepeatable(configured, 'GET', '/next'));
 });
 
-test("a caller's deadline can only shorten the service's", (t) => {
+test("a caller's deadline can only shorten the deadline of the service", (t) => {
   const limit = service().deadlineMs;
   for (const [header, expected] of [
     ['100', 100],
@@ -63,7 +63,7 @@
 ];
 
 for (const [code, status, outcome] of REFUSALS) {
-  test(`refusal ${code} says what is known and when to come back`, (t) => {
+  test(`refusal ${code} carries its outcome and the retry-after time`, (t) => {
     const response = refusalResponse(refusal(code, 'why', 1_200));
     t.is(response.status, status);
     t.like(response.headers, {
--- a/test/router/request-that-ends-back-ends.test.ts
+++ b/test/router/request-that-ends-back-ends.test.ts
@@ -1,7 +1,7 @@
 /**
- * Two routers share four back ends. A request ends every back end that begins to run it and comes again, at either router;
- * before routers knew of it by way of control, each coming ended up to three back ends, with the routers' own repeats: 30 for
- * the 12 comings of this test.
+ * Two routers share four back ends. A request crashes every back end that runs it and is retried by its caller at
+ * either router. Without crash records shared through control, each submission ends up to three back ends because of
+ * the routers' own retries: 30 for the 12 submissions of this test.
  */
 import { createServer, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -22,20 +22,20 @@
 
 const SERVICE = 'stock';
 const BACKENDS = ['one', 'two', 'three', 'four'];
-const GUILTY = `/${SERVICE}/guilty`;
-const INNOCENT = `/${SERVICE}/innocent`;
-const HELD = `/${SERVICE}/held`;
-const COMINGS = 12;
-const ROOMY_SLOTS = 8;
+const CRASHING_PATH = `/${SERVICE}/guilty`;
+const HARMLESS_PATH = `/${SERVICE}/innocent`;
+const HELD_PATH = `/${SERVICE}/held`;
+const SUBMISSIONS = 12;
+const AMPLE_SLOTS = 8;
 /** One slot of each back end for each of the routers. */
-const TIGHT_SLOTS = 2;
-const LOOK_MS = 10;
-const FINAL_STATUS = 400;
+const SCARCE_SLOTS = 2;
+const POLL_INTERVAL_MS = 10;
+const QUARANTINED_STATUS = 400;
 
-/** A deployment without its network between routers and control. */
+/** Deployment in which routers and control call each other directly, without a network. */
 class Deployment {
   ends = 0;
-  readonly guiltyRuns: string[] = [];
+  readonly crashingRuns: string[] = [];
   readonly routers: { readonly state: RouterState; readonly server: Server }[] = [];
   private readonly held: ServerResponse[] = [];
   private readonly state = emptyControlState();
@@ -70,28 +70,28 @@
     return answer.statusCode;
   }
 
-  /** Requests that back ends keep without an answer. */
+  /** Number of requests that back ends hold without an answer. */
   get heldCount(): number {
     return this.held.length;
   }
 
-  /** Requests that wait for a slot at a router. */
+  /** Number of requests that wait for a slot at a router. */
   queuedAt(router: number): number {
     const states = [...(this.routers[router]?.state.backends.entries() ?? [])];
     return states.reduce((sum, [, { limiter }]) => sum + limiter.queued, 0);
   }
 
-  /** Back ends answer what they have kept. */
+  /** Makes the back ends answer the requests that they hold. */
   answerHeld(): void {
     for (const response of this.held.splice(0)) response.end('done');
   }
 
-  /** Control learns from elsewhere that three back ends have ended under the request, each of them alone with it. */
+  /** Records at control that three other back ends have ended while running only this request. */
   recordEnds(): void {
     const identified = {
       method: 'GET',
       host: null,
-      path: GUILTY,
+      path: CRASHING_PATH,
       headers: [],
       key: null,
       body: Buffer.alloc(0),
@@ -101,8 +101,8 @@
       this.apply({ kind: 'record-end', life, service: SERVICE, version: '', runs });
   }
 
-  /** Back ends that have ended are started again, each with a new session. */
-  async repair(): Promise<void> {
+  /** Restarts the back ends that have ended, each with a new session. */
+  async restartBackends(): Promise<void> {
     for (const name of this.backends) {
       if (this.servers.has(name)) continue;
       await this.startBackend(name);
@@ -120,15 +120,15 @@
 
   private async startBackend(name: string): Promise<void> {
     const server = createServer((incoming, response) => {
-      if (incoming.url === HELD) {
+      if (incoming.url === HELD_PATH) {
         this.held.push(response);
         return;
       }
-      if (incoming.url !== GUILTY) {
+      if (incoming.url !== CRASHING_PATH) {
         response.end('done');
         return;
       }
-      this.guiltyRuns.push(name);
+      this.crashingRuns.push(name);
       this.ends += 1;
       this.servers.delete(name);
       closeServer(server);
@@ -195,36 +195,36 @@
   server.closeAllConnections();
 }
 
-test('a request that ends every back end is sent to three, whichever router it comes to; others are served', async (t) => {
-  const deployment = new Deployment(BACKENDS, ROOMY_SLOTS);
+test('a request that crashes back ends is sent to at most three over both routers; others are served', async (t) => {
+  const deployment = new Deployment(BACKENDS, AMPLE_SLOTS);
   t.teardown(async () => {
     await deployment.stop();
   });
   await deployment.start();
   const statuses: number[] = [];
-  for (let coming = 0; coming < COMINGS; coming += 1) {
-    statuses.push(await deployment.send(coming % 2, GUILTY));
-    await deployment.repair();
-    t.is(await deployment.send(coming % 2, INNOCENT), 200);
+  for (let submission = 0; submission < SUBMISSIONS; submission += 1) {
+    statuses.push(await deployment.send(submission % 2, CRASHING_PATH));
+    await deployment.restartBackends();
+    t.is(await deployment.send(submission % 2, HARMLESS_PATH), 200);
   }
   t.true(deployment.ends <= 3, `${deployment.ends} back ends have ended`);
-  t.is(statuses.at(-1), FINAL_STATUS);
-  t.is(statuses.at(-2), FINAL_STATUS);
+  t.is(statuses.at(-1), QUARANTINED_STATUS);
+  t.is(statuses.at(-2), QUARANTINED_STATUS);
 });
 
-test('a request that is proved to end back ends while it waits for a slot is not run', async (t) => {
-  const deployment = new Deployment(BACKENDS.slice(0, 1), TIGHT_SLOTS);
+test('a request that is quarantined while it waits for a slot is not run', async (t) => {
+  const deployment = new Deployment(BACKENDS.slice(0, 1), SCARCE_SLOTS);
   t.teardown(async () => {
     await deployment.stop();
   });
   await deployment.start();
-  const held = deployment.send(0, HELD);
-  while (deployment.heldCount === 0) await delay(LOOK_MS);
-  const waiting = deployment.send(0, GUILTY);
-  while (deployment.queuedAt(0) === 0) await delay(LOOK_MS);
+  const held = deployment.send(0, HELD_PATH);
+  while (deployment.heldCount === 0) await delay(POLL_INTERVAL_MS);
+  const waiting = deployment.send(0, CRASHING_PATH);
+  while (deployment.queuedAt(0) === 0) await delay(POLL_INTERVAL_MS);
   deployment.recordEnds();
   deployment.answerHeld();
   t.is(await held, 200);
-  t.is(await waiting, FINAL_STATUS);
-  t.deepEqual(deployment.guiltyRuns, []);
+  t.is(await waiting, QUARANTINED_STATUS);
+  t.deepEqual(deployment.crashingRuns, []);
 });
