--- a/src/agent/agent-node.ts
+++ b/src/agent/agent-node.ts
@@ -1,6 +1,6 @@
 /**
- * The agent beside a back end: holds the back end's session and reports its load. Grants and handovers are
- * in `grant-keeper.ts`.
+ * Agent of a back end: maintains the back end's session at control and reports its load. Grants and handovers
+ * are handled in `grant-keeper.ts`.
  */
 import type { AgentSettings } from '../config/daemon-settings.js';
 import type { ControlNotice } from '../control/daemon-messages.js';
@@ -21,20 +21,20 @@
 import { LoadReport } from './load-report.js';
 
 /**
- * Time in ms for which a call to the back end may wait before its session is not renewed. A short pause costs
- * nothing, since the term is longer; a frozen back end must lose its shards within 3 s. Only a call that waits
- * counts: an agent that was itself kept from running must not take that for silence.
+ * Time in ms for which a call to the back end may stay unanswered before session renewal stops. A short pause has no
+ * effect, since the session term is longer; a frozen back end must lose its shards within 3 s. Only the time of a
+ * pending call counts: an agent that was itself suspended must not mistake that for an unresponsive back end.
  */
-const BACKEND_SILENCE_MS = 400;
+const BACKEND_RESPONSE_TIMEOUT_MS = 400;
 
-/** Pause between attempts to open a session, in ms. */
-const OPEN_RETRY_MS = 1_000;
+/** Interval between attempts to open a session, in ms. */
+const OPEN_RETRY_INTERVAL_MS = 1_000;
 
-/** Pause between looks for unused connections to other agents, in ms. */
-const IDLE_CHECK_MS = 10_000;
+/** Interval between checks for idle connections to other agents, in ms. */
+const IDLE_CHECK_INTERVAL_MS = 10_000;
 
-/** Steps of the session between two renewals. */
-const STEPS_PER_RENEWAL = 4;
+/** Steps of the session state machine per renewal interval. */
+const STATE_STEPS_PER_RENEWAL = 4;
 
 /** Counters of an agent's session. */
 export interface AgentCounters {
@@ -42,7 +42,7 @@
   renewals: number;
 }
 
-/** Makes the port to a back end; `agentInstance` names this life of the agent. */
+/** Creates the port to a back end; `agentInstance` identifies this incarnation of the agent. */
 export type BackendPortFactory = (agentInstance: string) => BackendPort;
 
 type State = 'taking-holder' | 'opening-session' | 'in-session';
@@ -62,12 +62,12 @@
   private readonly timers: CancelTimer[] = [];
   private state: State = 'taking-holder';
   private busy = false;
-  private backendLife: string | null = null;
-  /** Since when a call to the back end waits for an answer; null while none does. */
+  private backendIncarnation: string | null = null;
+  /** Start time of the pending call to the back end; null if none is pending. */
   private unansweredSinceMs: number | null = null;
   private openId = '';
-  private openSentMs = 0;
-  private openDueMs = 0;
+  private firstOpenSentMs = 0;
+  private nextOpenMs = 0;
 
   private constructor(
     private readonly runtime: Runtime,
@@ -90,7 +90,7 @@
     });
   }
 
-  /** Starts the agent; `makeBackend` is given where the back end is not reached over HTTP. */
+  /** Starts the agent; pass `makeBackend` if the back end is not reached over HTTP. */
   static async start(
     settings: AgentSettings,
     token: string,
@@ -105,22 +105,22 @@
     return Ok(node);
   }
 
-  /** Whether the back end can take shards: it answers and its session is open. */
+  /** Whether the back end can receive shards: it answers and its session is open. */
   get ready(): boolean {
     return this.state === 'in-session' && !this.lease.expired(this.runtime.nowMs()) && this.backendAnswers;
   }
 
-  /** Name in the settings. */
+  /** Name of the agent in its settings. */
   get name(): string {
     return this.settings.name;
   }
 
-  /** The open session, for status. */
+  /** ID of the open session, or null. */
   get session(): number | null {
     return this.lease.session;
   }
 
-  /** Bytes to and from control. */
+  /** Returns the bytes sent to and received from control. */
   traffic(): Traffic {
     const watch = this.watch.traffic();
     const channel = this.channel.traffic();
@@ -130,15 +130,15 @@
     };
   }
 
-  /** Gives up the session in an orderly way and stops. */
+  /** Closes the session gracefully and stops. */
   async stop(): Promise<void> {
     this.stopTimers();
     const session = this.lease.session;
-    if (session !== null) await this.endSession(session);
+    if (session !== null) await this.endGrantsAndCloseSession(session);
     await this.abandon();
   }
 
-  /** Stops at once and tells nobody, as a process does that is killed. */
+  /** Stops immediately without closing the session, like a killed process. */
   async abandon(): Promise<void> {
     this.stopTimers();
     this.receiver.server.close();
@@ -151,13 +151,13 @@
   private startTimers(): void {
     const { renewIntervalMs } = this.settings;
     this.timers.push(
-      this.runtime.every(renewIntervalMs / STEPS_PER_RENEWAL, () => {
-        void this.step();
+      this.runtime.every(renewIntervalMs / STATE_STEPS_PER_RENEWAL, () => {
+        void this.runStep();
       }),
       this.runtime.every(renewIntervalMs, () => {
         this.renew();
       }),
-      this.runtime.every(IDLE_CHECK_MS, () => {
+      this.runtime.every(IDLE_CHECK_INTERVAL_MS, () => {
         this.sender.closeIdle();
       }),
     );
@@ -173,10 +173,10 @@
         this.receiveNotice(notice);
       },
       onOpen: () => {
-        this.load.forgetReported();
+        this.load.discardReported();
       },
-      onAsk: () => {
-        this.openDueMs = 0;
+      onMayLead: () => {
+        this.nextOpenMs = 0;
         this.renew();
       },
     });
@@ -204,28 +204,28 @@
 
   private get backendAnswers(): boolean {
     if (this.unansweredSinceMs === null) return true;
-    return this.runtime.nowMs() - this.unansweredSinceMs < BACKEND_SILENCE_MS;
+    return this.runtime.nowMs() - this.unansweredSinceMs < BACKEND_RESPONSE_TIMEOUT_MS;
   }
 
-  /** Grants are ended at the back end before control is told, so nothing is served after the answer. */
-  private async endSession(session: number): Promise<void> {
+  /** Ends the grants at the back end before closing the session, so that nothing is served once control has closed it. */
+  private async endGrantsAndCloseSession(session: number): Promise<void> {
     const ended = await this.backend.takeHolder();
     const holdsNothing = ended.ok || ended.val.kind === 'gone';
     if (holdsNothing) this.channel.send({ kind: 'close-session', session });
     this.lease.ended();
   }
 
-  private async step(): Promise<void> {
+  private async runStep(): Promise<void> {
     if (this.busy) return;
     this.busy = true;
     try {
-      await this.stepState();
+      await this.advanceState();
     } finally {
       this.busy = false;
     }
   }
 
-  private async stepState(): Promise<void> {
+  private async advanceState(): Promise<void> {
     switch (this.state) {
       case 'taking-holder':
         await this.takeHolder();
@@ -242,28 +242,28 @@
   private async takeHolder(): Promise<void> {
     const taken = await this.backend.takeHolder();
     if (taken.err) return;
-    this.backendLife = holderLife(taken.val);
+    this.backendIncarnation = holderLife(taken.val);
     this.unansweredSinceMs = null;
     this.grants.clear();
-    this.openDueMs = 0;
+    this.nextOpenMs = 0;
     this.openId = this.runtime.randomId();
-    // The lease counts from the first request, whichever of them is answered.
-    this.openSentMs = this.runtime.nowMs();
+    // The lease starts at the first request to open the session, whichever of the repeats is answered.
+    this.firstOpenSentMs = this.runtime.nowMs();
     this.state = 'opening-session';
   }
 
   private openSession(): void {
     const nowMs = this.runtime.nowMs();
-    if (nowMs < this.openDueMs) return;
-    this.openDueMs = nowMs + OPEN_RETRY_MS;
+    if (nowMs < this.nextOpenMs) return;
+    this.nextOpenMs = nowMs + OPEN_RETRY_INTERVAL_MS;
     const { service, backend, listen } = this.settings;
     const { openId } = this;
     this.channel.send({ kind: 'open-session', openId, service, backend, agentAddress: listen });
   }
 
   /**
-   * A lease that has run out does not end the session: the back end refuses by itself, and as long as control
-   * has not given the shards away a late renewal brings them back without a change of owner.
+   * Extends the lease at the back end. An expired lease does not end the session: the back end refuses requests by
+   * itself, and until control reassigns the shards, a late renewal restores them without a change of owner.
    */
   private async checkSession(): Promise<void> {
     this.unansweredSinceMs ??= this.runtime.nowMs();
@@ -271,23 +271,23 @@
     if (answer.ok) this.backendAnswered(answer.val);
     else this.backendFailed(answer.val);
     this.grants.reportReleases();
-    if (this.grants.unsettled) this.tableChanged();
+    if (this.grants.hasPendingWork) this.tableChanged();
   }
 
   private backendAnswered(answer: HolderAnswer): void {
     this.unansweredSinceMs = null;
     this.load.count(answer.load);
-    if (holderLife(answer) === this.backendLife) return;
-    this.giveUpSession('back end was restarted');
+    if (holderLife(answer) === this.backendIncarnation) return;
+    this.closeSession('back end was restarted');
   }
 
   private backendFailed(error: BackendCallError): void {
-    if (error.kind === 'gone') this.giveUpSession('back end is gone');
+    if (error.kind === 'gone') this.closeSession('back end is gone');
     if (error.kind === 'refused') this.leaveSession('another agent holds the back end');
   }
 
-  /** The back end certainly holds no grants, so control may give its shards away at once. */
-  private giveUpSession(reason: string): void {
+  /** Closes the session when the back end is known to hold no grants, so that control can reassign its shards at once. */
+  private closeSession(reason: string): void {
     const { session } = this.lease;
     if (session !== null) this.channel.send({ kind: 'close-session', session });
     this.leaveSession(reason);
@@ -299,12 +299,12 @@
     this.state = 'taking-holder';
   }
 
-  /** A back end that does not answer is not renewed: it may be frozen, and its shards must move. */
+  /** Renews the session unless the back end is unresponsive: it may be frozen, and then its shards must move. */
   private renew(): void {
     const { session } = this.lease;
     if (this.state !== 'in-session' || session === null || !this.backendAnswers) return;
     const sentMs = this.runtime.nowMs();
-    const load = this.load.take(sentMs, this.grants.grantedShards.keys());
+    const load = this.load.takeReport(sentMs, this.grants.grantedShards.keys());
     this.channel.send({ kind: 'renew-session', session, sentMs, load });
   }
 
@@ -328,9 +328,9 @@
   }
 
   private sessionOpened(notice: Extract<ControlNotice, { kind: 'session-opened' }>): void {
-    const awaited = this.state === 'opening-session' && notice.openId === this.openId;
-    if (!awaited) return;
-    this.lease.opened(notice.session, this.openSentMs, notice.termMs);
+    const expected = this.state === 'opening-session' && notice.openId === this.openId;
+    if (!expected) return;
+    this.lease.opened(notice.session, this.firstOpenSentMs, notice.termMs);
     this.state = 'in-session';
     this.counters.sessionsOpened += 1;
     this.logger.info('session opened', { session: notice.session });
--- a/src/agent/backend-client.ts
+++ b/src/agent/backend-client.ts
@@ -1,4 +1,4 @@
-/** Calls the back end's side of the contract. Every outcome is a value; nothing here retries. */
+/** HTTP client for the contract API of a back end. Errors are returned as values; calls are never retried. */
 import { Pool } from 'undici';
 import type { z } from 'zod';
 import {
@@ -14,13 +14,13 @@
 import { formatAddress, type SocketAddress } from '../model/socket-address.js';
 import { Err, Ok, type Result } from '../result.js';
 
-/** Time in ms for a call that the back end can answer at once. */
+/** Timeout in ms for calls that the back end can answer immediately. */
 const CALL_TIMEOUT_MS = 500;
 
-/** Time in ms for a back end to finish what is running on a shard that it releases. */
+/** Timeout in ms for calls that wait for the requests in flight on a released shard. */
 const RELEASE_TIMEOUT_MS = 10_000;
 
-/** A client for one back end. */
+/** Client for one back end. */
 export class BackendClient implements BackendPort {
   private readonly pool: Pool;
   private readonly holder: HolderName;
@@ -30,13 +30,13 @@
     this.pool = new Pool(`http://${formatAddress(address)}`, { connections: 4 });
   }
 
-  /** Makes this agent the only holder; earlier grants have ended once this returns. */
+  /** Makes this agent the only holder; all earlier grants have ended when this succeeds. */
   async takeHolder(): Promise<Result<HolderAnswer, BackendCallError>> {
     this.holder.next();
     return await this.call('holder', {}, holderAnswerSchema, RELEASE_TIMEOUT_MS);
   }
 
-  /** Lengthens all grants. */
+  /** Extends all grants to a new deadline. */
   async extendLease(deadlineMs: number): Promise<Result<HolderAnswer, BackendCallError>> {
     return await this.call('lease', { deadlineMs }, holderAnswerSchema, CALL_TIMEOUT_MS);
   }
@@ -46,22 +46,22 @@
     return await this.call('grants', { deadlineMs, grants }, null, CALL_TIMEOUT_MS);
   }
 
-  /** Ends grants at once. */
+  /** Ends grants immediately. */
   async revoke(shards: readonly number[]): Promise<Result<unknown, BackendCallError>> {
     return await this.call('revocations', { shards }, null, CALL_TIMEOUT_MS);
   }
 
-  /** Stops admitting to a shard, waits for what is running and returns the claimed keys. */
+  /** Stops admission to a shard, waits for its requests in flight and returns the claimed keys. */
   async release(shard: number, epoch: number): Promise<Result<{ window: Claim[] }, BackendCallError>> {
     return await this.call('release', { shard, epoch }, releaseAnswerSchema, RELEASE_TIMEOUT_MS);
   }
 
-  /** Tells the back end that it is leaving, or that it stays. */
+  /** Starts or stops draining the back end. */
   async setDraining(draining: boolean): Promise<Result<unknown, BackendCallError>> {
     return await this.call('drain', { draining }, null, CALL_TIMEOUT_MS);
   }
 
-  /** Closes the connections. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await this.pool.destroy();
   }
@@ -86,12 +86,12 @@
       const parsed = schema.safeParse(JSON.parse(text) as unknown);
       return parsed.success ? Ok(parsed.data) : Err({ kind: 'no-answer', detail: 'unreadable answer' });
     } catch (error) {
-      return Err(classify(error));
+      return Err(classifyError(error));
     }
   }
 }
 
-function classify(error: unknown): BackendCallError {
+function classifyError(error: unknown): BackendCallError {
   const code = (error as NodeJS.ErrnoException).code;
   if (code === 'ECONNREFUSED') return { kind: 'gone' };
   return { kind: 'no-answer', detail: error instanceof Error ? error.message : String(error) };
--- a/src/agent/backend-port.ts
+++ b/src/agent/backend-port.ts
@@ -1,30 +1,30 @@
-/** What an agent needs of its back end. Every outcome is a value; nothing behind this retries. */
+/** Interface of an agent to its back end. Errors are returned as values; implementations never retry. */
 import type { Claim, Grant, HolderAnswer } from '../backend-contract/grant-messages.js';
 import type { Result } from '../result.js';
 
 /** Why a call failed. */
 export type BackendCallError =
-  /** Nothing listens there: the process is gone, and its grants with it. */
+  /** Connection refused: the process has ended, and so have its grants. */
   | { readonly kind: 'gone' }
   /** No answer: the back end may be frozen and may still hold its grants. */
   | { readonly kind: 'no-answer'; readonly detail: string }
-  /** It answered that this agent no longer holds it, or that it cannot do this. */
+  /** The back end answered that this agent is no longer its holder, or that it cannot perform the call. */
   | { readonly kind: 'refused'; readonly status: number };
 
-/** The back end's side of the contract; see `grant-messages.ts`. Times are ms of the machine's monotonic clock. */
+/** Contract API of a back end; see `grant-messages.ts`. Times are in ms of the machine's monotonic clock. */
 export interface BackendPort {
-  /** Makes this agent the only holder; earlier grants have ended once this returns. */
+  /** Makes this agent the only holder; all earlier grants have ended when this succeeds. */
   takeHolder(): Promise<Result<HolderAnswer, BackendCallError>>;
-  /** Lengthens all grants. */
+  /** Extends all grants to a new deadline. */
   extendLease(deadlineMs: number): Promise<Result<HolderAnswer, BackendCallError>>;
   /** Adds grants. */
   addGrants(deadlineMs: number, grants: readonly Grant[]): Promise<Result<unknown, BackendCallError>>;
-  /** Ends grants at once. */
+  /** Ends grants immediately. */
   revoke(shards: readonly number[]): Promise<Result<unknown, BackendCallError>>;
-  /** Stops admitting to a shard, waits for what is running and returns the claimed keys. */
+  /** Stops admission to a shard, waits for its requests in flight and returns the claimed keys. */
   release(shard: number, epoch: number): Promise<Result<{ window: Claim[] }, BackendCallError>>;
-  /** Tells the back end that it is leaving, or that it stays. */
+  /** Starts or stops draining the back end. */
   setDraining(draining: boolean): Promise<Result<unknown, BackendCallError>>;
-  /** Closes the connections. */
+  /** Closes all connections. */
   close(): Promise<void>;
 }
--- a/src/agent/grant-keeper.ts
+++ b/src/agent/grant-keeper.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the grants at the back end as the table says: installs new ones, ends lost ones, and hands over
- * the shards that are to move.
+ * Synchronizes the grants at the back end with the table: installs new grants, revokes lost ones, and hands over
+ * shards that are moving.
  */
 import type { Grant } from '../backend-contract/grant-messages.js';
 import type { DaemonRequest } from '../control/daemon-messages.js';
@@ -12,19 +12,19 @@
 import type { HandoverSender } from './handover-sender.js';
 import { steadyDeadline, type LeaseHolder } from './lease-holder.js';
 
-/** Pause between reports of a release that control has not acted on, in ms. */
-const RELEASE_REPORT_MS = 300;
+/** Interval between reports of a release that control has not yet acted on, in ms. */
+const RELEASE_REPORT_INTERVAL_MS = 300;
 
 /** Counters of grants and handovers. */
 export interface GrantCounters {
   grantsInstalled: number;
   handoversDone: number;
   handoversRefused: number;
-  /** Longest time in ms from the stop of admission to the report of release. */
+  /** Longest time from the start of a release to its report, in ms. */
   longestReleaseMs: number;
 }
 
-/** What the keeper needs of its agent. */
+/** Dependencies on the agent. */
 export interface GrantKeeperPorts {
   readonly runtime: Runtime;
   readonly service: string;
@@ -35,15 +35,15 @@
   readonly receiver: HandoverReceiver;
   readonly sender: HandoverSender;
   readonly send: (request: DaemonRequest) => void;
-  /** The windows that came with shards may have been lost, so the session must be given up. */
+  /** Called when grants could not be installed: handed-over windows may be lost, so the session must be left. */
   readonly onInstallFailed: () => void;
 }
 
-/** A shard that was released for a move; it must not be granted again while that move stands. */
+/** Shard that was released for a move; it must not be granted again while that move is in progress. */
 interface ReleasedShard {
   readonly moveId: number;
   readonly windowHandedOver: boolean;
-  /** When control was last told, in ms; infinite until the window has been sent. */
+  /** Time of the last report to control, in ms; infinite until the window has been sent. */
   reportedMs: number;
 }
 
@@ -60,23 +60,23 @@
   private readonly released = new Map<number, ReleasedShard>();
   private drainSent = false;
   private syncing = false;
-  private syncAgain = false;
+  private resyncRequested = false;
   private hasMoves = false;
-  private hasFailed = false;
+  private syncFailed = false;
 
   constructor(private readonly ports: GrantKeeperPorts) {}
 
-  /** Shards that are granted at present. */
+  /** Currently granted shards with their epochs. */
   get grantedShards(): ReadonlyMap<number, number> {
     return this.granted;
   }
 
-  /** Whether something is still to be done that no change of the table will announce. */
-  get unsettled(): boolean {
-    return this.hasMoves || this.hasFailed || this.released.size > 0;
+  /** Whether there is pending work that no table change will trigger. */
+  get hasPendingWork(): boolean {
+    return this.hasMoves || this.syncFailed || this.released.size > 0;
   }
 
-  /** The back end holds no grants any more. */
+  /** Resets the state after all grants at the back end have ended. */
   clear(): void {
     this.granted.clear();
     this.released.clear();
@@ -84,27 +84,27 @@
     this.drainSent = false;
   }
 
-  /** Makes the grants match the table; a change during this is taken up at its end. */
+  /** Makes the grants match the table; a table change during synchronization causes another pass. */
   async sync(): Promise<void> {
     if (this.syncing) {
-      this.syncAgain = true;
+      this.resyncRequested = true;
       return;
     }
     this.syncing = true;
     do {
-      this.syncAgain = false;
-      this.hasFailed = false;
+      this.resyncRequested = false;
+      this.syncFailed = false;
       await this.syncDrain();
       await this.syncGrants();
-    } while (this.syncAgain);
+    } while (this.resyncRequested);
     this.syncing = false;
   }
 
-  /** Tells control again of releases that it has not acted on. */
+  /** Repeats the reports of releases that control has not acted on. */
   reportReleases(): void {
     const nowMs = this.ports.runtime.nowMs();
     for (const [shard, release] of this.released) {
-      if (nowMs - release.reportedMs >= RELEASE_REPORT_MS) this.reportRelease(shard, release);
+      if (nowMs - release.reportedMs >= RELEASE_REPORT_INTERVAL_MS) this.reportRelease(shard, release);
     }
   }
 
@@ -114,12 +114,12 @@
     if (draining === this.drainSent) return;
     const sent = await backend.setDraining(draining);
     if (sent.ok) this.drainSent = draining;
-    else this.hasFailed = true;
+    else this.syncFailed = true;
   }
 
   private async syncGrants(): Promise<void> {
     const rows = this.ownRows();
-    this.forgetSettledReleases(rows);
+    this.discardSettledReleases(rows);
     const grantable = rows.filter((row) => !this.released.has(row.shard));
     const added = grantable.filter((row) => this.granted.get(row.shard) !== row.epoch);
     const owned = new Set(rows.map((row) => row.shard));
@@ -142,7 +142,7 @@
   private async revoke(shards: readonly number[]): Promise<void> {
     const revoked = await this.ports.backend.revoke(shards);
     if (revoked.err) {
-      this.hasFailed = true;
+      this.syncFailed = true;
       return;
     }
     for (const shard of shards) this.granted.delete(shard);
@@ -151,13 +151,13 @@
   private async install(rows: readonly ShardRow[]): Promise<void> {
     const { service, backend, receiver, lease } = this.ports;
     const grants = rows.map((row): Grant => {
-      const window = [...receiver.take(service, row.shard, row.epoch - 1)];
+      const window = [...receiver.takeWindow(service, row.shard, row.epoch - 1)];
       return { shard: row.shard, epoch: row.epoch, freshAfterMs: row.freshAfterMs, window };
     });
     const deadlineMs = steadyDeadline(this.ports.runtime, lease.deadlineMs);
     const installed = await backend.addGrants(deadlineMs, grants);
     if (installed.err) {
-      // The windows may or may not have arrived; a new session makes control count them as lost.
+      // Whether the windows arrived is unknown; with a new session, control treats them as lost.
       this.ports.onInstallFailed();
       return;
     }
@@ -165,8 +165,8 @@
     this.counters.grantsInstalled += rows.length;
   }
 
-  /** A release stands until control has moved the shard or called the move off. */
-  private forgetSettledReleases(rows: readonly ShardRow[]): void {
+  /** Discards releases whose shard control has moved or whose move it has cancelled. */
+  private discardSettledReleases(rows: readonly ShardRow[]): void {
     const moveIds = new Map(rows.map((row) => [row.shard, row.moveId]));
     for (const [shard, { moveId }] of this.released) {
       if (moveIds.get(shard) !== moveId) this.released.delete(shard);
@@ -206,7 +206,7 @@
     const released = await backend.release(shard, epoch);
     this.granted.delete(shard);
     if (released.err) {
-      // The move is called off; the shard is granted again once control has said so.
+      // Refuse the move; the shard is granted again once control has cancelled it.
       this.refuseMove(row);
       return;
     }
--- a/src/agent/handover-messages.ts
+++ b/src/agent/handover-messages.ts
@@ -1,29 +1,29 @@
-/** Messages between the agents of a shard's old and new owner. */
+/** Messages between the agents of the previous and the new owner of a shard. */
 import { z } from 'zod';
 import { claimSchema } from '../backend-contract/grant-messages.js';
 
-const place = {
+const handoverFields = {
   requestId: z.number(),
   service: z.string(),
   shard: z.number(),
-  /** Epoch of the old owner. */
+  /** Epoch of the previous owner. */
   epoch: z.number(),
-  /** Back end that the shard goes to. */
+  /** Back end that receives the shard. */
   target: z.string(),
 };
 
 /** Requests between agents. */
 export const handoverRequestSchema = z.discriminatedUnion('kind', [
-  /** Asks whether the target is ready to take over. */
-  z.object({ kind: z.literal('handover-prepare'), ...place }),
-  /** Carries the claimed keys. */
-  z.object({ kind: z.literal('handover-window'), ...place, window: z.array(claimSchema) }),
+  /** Asks whether the target is ready to receive the shard. */
+  z.object({ kind: z.literal('handover-prepare'), ...handoverFields }),
+  /** Transfers the claimed keys. */
+  z.object({ kind: z.literal('handover-window'), ...handoverFields, window: z.array(claimSchema) }),
 ]);
 
 /** Requests between agents. */
 export type HandoverRequest = z.infer<typeof handoverRequestSchema>;
 
-/** Answer to both requests. */
+/** Answer to either request. */
 export const handoverAnswerSchema = z.object({
   kind: z.literal('handover-answer'),
   requestId: z.number(),
--- a/src/agent/handover-receiver.ts
+++ b/src/agent/handover-receiver.ts
@@ -1,17 +1,17 @@
-/** The new owner's side of handover: keeps the windows of claimed keys until the shards are granted. */
+/** New owner's side of a handover: stores the windows of claimed keys until the shards are granted. */
 import type { Claim } from '../backend-contract/grant-messages.js';
 import type { Listener, Runtime } from '../runtime/runtime.js';
 import { handoverRequestSchema, type HandoverRequest } from './handover-messages.js';
 
-/** Windows that may wait for their grant. */
-const MAX_WAITING_WINDOWS = 4_096;
+/** Maximum number of windows stored until their grant. */
+const MAX_STORED_WINDOWS = 4_096;
 
 /** Accepts windows from other agents. */
 export class HandoverReceiver {
   readonly server: Listener;
   private readonly windows = new Map<string, readonly Claim[]>();
 
-  /** `ready` tells whether this agent's back end can take shards at present. */
+  /** `ready` returns whether this agent's back end can currently receive shards. */
   constructor(
     runtime: Runtime,
     token: string,
@@ -35,15 +35,15 @@
     });
   }
 
-  /** Takes the window that was handed over with a shard whose old owner had `epoch`. */
-  take(service: string, shard: number, epoch: number): readonly Claim[] {
+  /** Removes and returns the window handed over with a shard; `epoch` is that of the previous owner. */
+  takeWindow(service: string, shard: number, epoch: number): readonly Claim[] {
     const key = windowKey(service, shard, epoch);
     const window = this.windows.get(key) ?? [];
     this.windows.delete(key);
     return window;
   }
 
-  /** Forgets all windows; the session that they were meant for has ended. */
+  /** Discards all windows when the session that they were sent for has ended. */
   clear(): void {
     this.windows.clear();
   }
@@ -51,7 +51,7 @@
   private accept(request: HandoverRequest): boolean {
     if (request.target !== this.backend || !this.ready()) return false;
     if (request.kind === 'handover-prepare') return true;
-    if (this.windows.size >= MAX_WAITING_WINDOWS) return false;
+    if (this.windows.size >= MAX_STORED_WINDOWS) return false;
     this.windows.set(windowKey(request.service, request.shard, request.epoch), request.window);
     return true;
   }
--- a/src/agent/handover-sender.ts
+++ b/src/agent/handover-sender.ts
@@ -1,19 +1,19 @@
-/** The old owner's side of handover: asks the new owner's agent and sends it the window of claimed keys. */
+/** Previous owner's side of a handover: checks that the new owner's agent is ready and sends the claimed keys. */
 import type { Claim } from '../backend-contract/grant-messages.js';
 import { formatAddress, type SocketAddress } from '../model/socket-address.js';
 import type { Client, ClientIdentity, Runtime } from '../runtime/runtime.js';
 import { handoverAnswerSchema } from './handover-messages.js';
 
-/** Time in ms in which the other agent must answer. */
+/** Time in ms within which the other agent must answer. */
 const ANSWER_TIMEOUT_MS = 1_000;
 
-/** Time in ms after which an unused connection to another agent is closed. */
-const IDLE_MS = 30_000;
+/** Time in ms after which an idle connection to another agent is closed. */
+const IDLE_TIMEOUT_MS = 30_000;
 
-/** Pause before a message is offered again to a connection that is being opened, in ms. */
-const SEND_RETRY_MS = 20;
+/** Interval between attempts to send a message while the connection is being opened, in ms. */
+const SEND_RETRY_INTERVAL_MS = 20;
 
-/** A shard on its way. */
+/** Shard being handed over. */
 export interface Handover {
   readonly service: string;
   readonly shard: number;
@@ -37,14 +37,14 @@
     private readonly identity: ClientIdentity,
   ) {}
 
-  /** Whether the new owner's agent is there and ready. */
+  /** Whether the new owner's agent is reachable and ready to receive the shard. */
   async prepare(address: SocketAddress, handover: Handover): Promise<boolean> {
-    return await this.ask(address, (requestId) => ({ kind: 'handover-prepare', requestId, ...handover }));
+    return await this.request(address, (requestId) => ({ kind: 'handover-prepare', requestId, ...handover }));
   }
 
-  /** Whether the new owner's agent holds the window now. */
+  /** Sends the window; returns whether the new owner's agent has accepted it. */
   async sendWindow(address: SocketAddress, handover: Handover, window: readonly Claim[]): Promise<boolean> {
-    return await this.ask(address, (requestId) => ({
+    return await this.request(address, (requestId) => ({
       kind: 'handover-window',
       requestId,
       ...handover,
@@ -52,11 +52,11 @@
     }));
   }
 
-  /** Closes connections that were not used lately. */
+  /** Closes idle connections. */
   closeIdle(): void {
     const nowMs = this.runtime.nowMs();
     for (const [key, peer] of this.peers) {
-      if (nowMs - peer.lastUsedMs < IDLE_MS) continue;
+      if (nowMs - peer.lastUsedMs < IDLE_TIMEOUT_MS) continue;
       peer.client.stop();
       this.peers.delete(key);
     }
@@ -68,7 +68,7 @@
     this.peers.clear();
   }
 
-  private async ask(address: SocketAddress, message: (requestId: number) => unknown): Promise<boolean> {
+  private async request(address: SocketAddress, message: (requestId: number) => unknown): Promise<boolean> {
     const peer = this.peerAt(address);
     const requestId = this.nextRequestId;
     this.nextRequestId += 1;
@@ -83,8 +83,8 @@
         settle(false);
       });
       peer.waiting.set(requestId, settle);
-      // A connection that is still being opened drops messages, so the first send may have to be repeated.
-      const cancelRetry = this.runtime.every(SEND_RETRY_MS, () => {
+      // A connection that is still being opened drops messages, so the send may have to be repeated.
+      const cancelRetry = this.runtime.every(SEND_RETRY_INTERVAL_MS, () => {
         if (peer.client.send(message(requestId))) cancelRetry();
       });
       if (peer.client.send(message(requestId))) cancelRetry();
@@ -93,10 +93,10 @@
 
   private peerAt(address: SocketAddress): Peer {
     const key = formatAddress(address);
-    const known = this.peers.get(key);
-    if (known !== undefined) {
-      known.lastUsedMs = this.runtime.nowMs();
-      return known;
+    const existing = this.peers.get(key);
+    if (existing !== undefined) {
+      existing.lastUsedMs = this.runtime.nowMs();
+      return existing;
     }
     const waiting = new Map<number, (accepted: boolean) => void>();
     const client = this.runtime.dial(address, this.identity, {
--- a/src/agent/holder-name.ts
+++ b/src/agent/holder-name.ts
@@ -1,24 +1,24 @@
 /**
- * The name under which an agent holds its back end. Each taking has a name of its own, so that the back end refuses a call of
- * before it that is carried out late: such a call brought shards back that had another owner.
+ * Names under which an agent holds its back end. Each takeover uses a new name, so that the back end refuses calls from
+ * before it that are executed late. Without this, a late call restored shards that already had another owner.
  */
 
 const SEPARATOR = '/';
 
-/** The names of one life of an agent. */
+/** Holder names of one incarnation of an agent. */
 export class HolderName {
-  private takings = 0;
+  private takeovers = 0;
 
   constructor(private readonly agentInstance: string) {}
 
-  /** The name of the newest taking. */
+  /** Name of the latest takeover. */
   get current(): string {
-    return `${this.agentInstance}${SEPARATOR}${this.takings}`;
+    return `${this.agentInstance}${SEPARATOR}${this.takeovers}`;
   }
 
-  /** The name of a taking that begins now. */
+  /** Returns a new name for a takeover that starts now. */
   next(): string {
-    this.takings += 1;
+    this.takeovers += 1;
     return this.current;
   }
 }
--- a/src/backend-contract/grant-messages.ts
+++ b/src/backend-contract/grant-messages.ts
@@ -1,18 +1,18 @@
 /**
- * What a back end must offer so that it can own shards, over HTTP on its own address under
- * `/-/aldertide/`; see docs/BACKEND-CONTRACT.md. Bodies are JSON.
+ * HTTP API that a back end must implement to own shards, on its own address under `/-/aldertide/`; see
+ * docs/BACKEND-CONTRACT.md. Bodies are JSON.
  *
  * Deadlines are readings of the machine's monotonic clock (CLOCK_MONOTONIC) in ms. The agent runs on the
  * same machine, so both read the same clock, and a message that was delayed by a frozen process cannot
- * lengthen a grant.
+ * extend a grant.
  */
 import { lifeName } from '../model/backend-life.js';
 import { z } from 'zod';
 
-/** Path prefix of the contract on a back end. */
+/** Path prefix of the contract API. */
 export const CONTRACT_PREFIX = '/-/aldertide';
 
-/** Headers that a router adds to a request for a back end. */
+/** Headers of a request to a back end; the router sets all of them except the caller's idempotency key. */
 export const REQUEST_HEADERS = {
   shard: 'aldertide-shard',
   epoch: 'aldertide-epoch',
@@ -21,10 +21,10 @@
   idempotencyKey: 'idempotency-key',
 } as const;
 
-/** Header by which a back end refuses a request that it has not run. */
+/** Response header with which a back end refuses a request that it has not run. */
 export const REFUSAL_HEADER = 'aldertide-refusal';
 
-/** Why a back end did not run a request. */
+/** Reasons for which a back end did not run a request. */
 export const refusalCodeSchema = z.enum([
   /** The shard is granted under another epoch, or not at all. */
   'not-owner',
@@ -32,9 +32,9 @@
   'lease-expired',
   /** The shard is being released. */
   'releasing',
-  /** All slots are taken. */
+  /** All slots are in use. */
   'overloaded',
-  /** The back end is leaving. */
+  /** The back end is draining. */
   'draining',
   /** The deadline of the request has passed. */
   'deadline-passed',
@@ -44,61 +44,64 @@
   'in-progress',
 ]);
 
-/** Why a back end did not run a request. */
+/** Reason for which a back end did not run a request. */
 export type RefusalCode = z.infer<typeof refusalCodeSchema>;
 
-/** A claimed idempotency key: the request ran, or is running, and this was its answer. */
+/** Claimed idempotency key of a request that ran or is running, with its answer. */
 export const claimSchema = z.object({
   key: z.string(),
-  /** When the key was claimed, in wall-clock ms. */
+  /** Time at which the key was claimed, in wall-clock ms. */
   claimedMs: z.number(),
-  /** Null while the request is running or when the answer is too long to keep. */
+  /** Null while the request is running, or if the answer is too long to store. */
   answer: z.object({ status: z.number(), contentType: z.string(), body: z.string() }).nullable(),
 });
 
-/** A claimed idempotency key. */
+/** Claimed idempotency key. */
 export type Claim = z.infer<typeof claimSchema>;
 
 const agent = z.string().min(1);
 
-/** `PUT holder`: makes `agent` the only one that may grant; ends all earlier grants. */
+/** `PUT holder`: makes `agent` the only holder that may grant shards; ends all earlier grants. */
 export const takeHolderSchema = z.object({ agent });
 
-/** `PUT lease`: lengthens all grants of the present holder. */
+/** `PUT lease`: extends all grants of the current holder. */
 export const extendLeaseSchema = z.object({ agent, deadlineMs: z.number() });
 
-/** One grant. */
+/** Grant of one shard. */
 export const grantSchema = z.object({
   shard: z.number(),
   epoch: z.number(),
   /** Keys first used before this wall-clock time cannot be proven fresh; 0 when none were lost. */
   freshAfterMs: z.number(),
-  /** Keys claimed at the earlier owner. */
+  /** Keys claimed at the previous owner. */
   window: z.array(claimSchema),
 });
 
-/** One grant. */
+/** Grant of one shard. */
 export type Grant = z.infer<typeof grantSchema>;
 
-/** `PUT grants`: adds grants, good until the deadline of the lease. */
+/** `PUT grants`: adds grants, valid until the deadline of the lease. */
 export const addGrantsSchema = z.object({ agent, deadlineMs: z.number(), grants: z.array(grantSchema) });
 
-/** `PUT revocations`: ends grants at once, without waiting for what is running. */
+/** `PUT revocations`: ends grants at once, without waiting for requests in flight. */
 export const revokeSchema = z.object({ agent, shards: z.array(z.number()) });
 
-/** `PUT release`: stops admitting, finishes what is running, and answers with the window. */
+/** `PUT release`: stops admission, waits for requests in flight, and answers with the window of claimed keys. */
 export const releaseSchema = z.object({ agent, shard: z.number(), epoch: z.number() });
 
-/** `PUT drain`: refuses requests that are not fenced by a grant, or takes them again. */
+/** `PUT drain`: refuses requests that are not fenced by a grant, or accepts them again. */
 export const drainSchema = z.object({ agent, draining: z.boolean() });
 
 /** Answer to `PUT holder` and `PUT lease`. */
 export const holderAnswerSchema = z.object({
-  /** Made anew at every start of the back end, unless it tells when it started. */
+  /** Must change with every start of the back end, unless `bornMs` is given. */
   instance: z.string(),
-  /** When it started, in ms of its machine's wall clock; another start under the same instance is another life. */
+  /**
+   * Start time of the back end, in ms of its machine's wall clock; another start time under the same instance is
+   * another incarnation.
+   */
   bornMs: z.optional(z.int()),
-  /** Requests by shard since the last answer. */
+  /** Requests admitted by shard since the last answer. */
   load: z.array(z.tuple([z.number(), z.number()])),
   inFlight: z.number(),
 });
@@ -106,7 +109,7 @@
 /** Answer to `PUT holder` and `PUT lease`. */
 export type HolderAnswer = z.infer<typeof holderAnswerSchema>;
 
-/** Name of the life that answered. */
+/** Returns the name of the incarnation that answered. */
 export function holderLife({ instance, bornMs }: HolderAnswer): string {
   return lifeName({ id: instance, bornMs: bornMs ?? null });
 }
--- a/src/control-client/control-watch.ts
+++ b/src/control-client/control-watch.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps a daemon's table up to date from one control replica at a time. A replica that is behind this
- * daemon, knows no leader or falls silent is left for the next one; until then the last table stays.
+ * Keeps a daemon's table up to date from one control replica at a time. Switches to the next replica if the
+ * current one is behind this daemon, knows no leader or falls silent; meanwhile the last table remains in use.
  */
 import type { NamedAddress } from '../config/daemon-settings.js';
 import type { WatchScope } from '../control/changes.js';
@@ -10,17 +10,17 @@
 import { ReplicaLink } from './replica-link.js';
 import type { WatchedTable } from './watched-table.js';
 
-/** Pause before another replica is tried, in ms. */
-const SWITCH_PAUSE_MS = 200;
+/** Delay before connecting to another replica, in ms. */
+const SWITCH_DELAY_MS = 200;
 
-/** Silence after which a replica is left, in ms: three signs of life of a replica that hears a leader. */
-const SILENCE_LIMIT_MS = 3_000;
+/** Time in ms without a notice after which the replica is switched: three heartbeats of a replica that hears a leader. */
+const SILENCE_TIMEOUT_MS = 3_000;
 
-/** Pause between looks at the silence, in ms. */
-const SILENCE_CHECK_MS = 500;
+/** Interval between checks for a silent replica, in ms. */
+const SILENCE_CHECK_INTERVAL_MS = 500;
 
-/** Pause between reports of what is in force, in ms. */
-const ACKNOWLEDGE_MS = 1_000;
+/** Interval between acknowledgements of the applied index and revision, in ms. */
+const ACKNOWLEDGE_INTERVAL_MS = 1_000;
 
 /** Counters of a watch. */
 export interface WatchCounters {
@@ -28,7 +28,7 @@
   changes: number;
 }
 
-/** A watch of the published state. */
+/** Watch of the published state. */
 export class ControlWatch {
   readonly counters: WatchCounters = { tables: 0, changes: 0 };
   private readonly link: ReplicaLink;
@@ -47,7 +47,7 @@
   ) {
     this.lastNoticeMs = runtime.nowMs();
     const firstPosition = spread(identity.name, control.length);
-    const options = { firstPosition, switchPauseMs: SWITCH_PAUSE_MS };
+    const options = { firstPosition, switchDelayMs: SWITCH_DELAY_MS };
     this.link = new ReplicaLink(runtime, identity, control, options, {
       onOpen: () => {
         this.watch();
@@ -59,15 +59,15 @@
         this.link.switchToNext();
       },
     });
-    this.cancelSilenceCheck = runtime.every(SILENCE_CHECK_MS, () => {
-      this.leaveIfSilent();
+    this.cancelSilenceCheck = runtime.every(SILENCE_CHECK_INTERVAL_MS, () => {
+      this.switchIfSilent();
     });
-    this.cancelAcknowledge = runtime.every(ACKNOWLEDGE_MS, () => {
+    this.cancelAcknowledge = runtime.every(ACKNOWLEDGE_INTERVAL_MS, () => {
       this.acknowledge();
     });
   }
 
-  /** Bytes over all connections of this watch. */
+  /** Returns the bytes over all connections of this watch. */
   traffic(): Traffic {
     return this.link.traffic();
   }
@@ -84,15 +84,15 @@
     this.link.send({ kind: 'watch', fromIndex: this.table.index, scope: this.scope });
   }
 
-  private leaveIfSilent(): void {
+  private switchIfSilent(): void {
     const nowMs = this.runtime.nowMs();
-    if (nowMs - this.lastNoticeMs < SILENCE_LIMIT_MS) return;
+    if (nowMs - this.lastNoticeMs < SILENCE_TIMEOUT_MS) return;
     this.lastNoticeMs = nowMs;
     this.link.switchToNext();
   }
 
-  /** Whether a change was lost on the way; a watcher of one back end is not told of every change. */
-  private lacks(index: number): boolean {
+  /** Whether a change was missed. Never true for a watch scoped to one back end, since it does not receive every change. */
+  private hasMissed(index: number): boolean {
     return this.scope === null && index > this.table.index;
   }
 
@@ -100,7 +100,7 @@
     this.lastNoticeMs = this.runtime.nowMs();
     switch (notice.kind) {
       case 'watch-alive':
-        if (this.lacks(notice.index)) this.watch();
+        if (this.hasMissed(notice.index)) this.watch();
         break;
       case 'table':
         this.counters.tables += 1;
@@ -108,7 +108,7 @@
         break;
       case 'changes':
         this.counters.changes += 1;
-        if (this.lacks(notice.previousIndex)) this.watch();
+        if (this.hasMissed(notice.previousIndex)) this.watch();
         else if (this.table.apply(notice.index, notice.changes)) this.updated();
         break;
       case 'watch-refused':
--- a/src/control-client/leader-calls.ts
+++ b/src/control-client/leader-calls.ts
@@ -1,22 +1,22 @@
 /**
- * A daemon's way to tell the leader something now and then. A connection is opened when there is something to tell and
- * closed after a while without, so that hundreds of routers do not keep one each.
+ * Client for occasional requests of a daemon to the leader. The connection is opened on demand and closed when idle, so
+ * that hundreds of routers do not each keep one open.
  */
 import type { NamedAddress } from '../config/daemon-settings.js';
 import type { ControlNotice, DaemonRequest } from '../control/daemon-messages.js';
 import type { CancelTimer, ClientIdentity, Runtime } from '../runtime/runtime.js';
 import { SessionChannel } from './session-channel.js';
 
-/** Time in ms without anything to tell after which the connection is closed. */
-const IDLE_MS = 10_000;
+/** Time in ms without requests after which the connection is closed. */
+const IDLE_TIMEOUT_MS = 10_000;
 
-/** Requests that are kept until a leader is found; whoever waits for an answer asks again. */
-const MOST_KEPT = 64;
+/** Maximum number of requests queued until a leader is found; beyond it the oldest are dropped. Callers repeat unanswered ones. */
+const MAX_QUEUED_REQUESTS = 64;
 
-/** Calls to whichever replica leads. */
+/** Client for the current leader. */
 export class LeaderCalls {
   private channel: SessionChannel | null = null;
-  private kept: DaemonRequest[] = [];
+  private queue: DaemonRequest[] = [];
   private cancelIdle: CancelTimer | null = null;
 
   constructor(
@@ -26,16 +26,16 @@
     private readonly onNotice: (notice: ControlNotice) => void,
   ) {}
 
-  /** Sends to the leader, or as soon as one is found; false when it has to wait for that. */
+  /** Sends a request to the leader; returns false if it is queued until a leader is found. */
   send(request: DaemonRequest): boolean {
-    this.stayOpen();
+    this.resetIdleTimer();
     this.channel ??= this.open();
     if (this.channel.send(request)) return true;
-    this.kept = [...this.kept, request].slice(-MOST_KEPT);
+    this.queue = [...this.queue, request].slice(-MAX_QUEUED_REQUESTS);
     return false;
   }
 
-  /** Closes for good. */
+  /** Closes the connection. */
   stop(): void {
     this.cancelIdle?.();
     this.channel?.stop();
@@ -46,17 +46,17 @@
     return new SessionChannel(this.runtime, this.identity, this.control, {
       onNotice: this.onNotice,
       onOpen: () => undefined,
-      onAsk: () => {
-        for (const request of this.kept.splice(0)) this.channel?.send(request);
+      onMayLead: () => {
+        for (const request of this.queue.splice(0)) this.channel?.send(request);
       },
     });
   }
 
-  private stayOpen(): void {
+  private resetIdleTimer(): void {
     this.cancelIdle?.();
-    this.cancelIdle = this.runtime.after(IDLE_MS, () => {
+    this.cancelIdle = this.runtime.after(IDLE_TIMEOUT_MS, () => {
       this.stop();
-      this.kept = [];
+      this.queue = [];
     });
   }
 }
--- a/src/control-client/replica-link.ts
+++ b/src/control-client/replica-link.ts
@@ -1,27 +1,28 @@
-/** A daemon's connection to one control replica at a time, and the change to another. */
+/** Connection of a daemon to one control replica at a time, with switching between replicas. */
 import type { NamedAddress } from '../config/daemon-settings.js';
 import { controlNoticeSchema, type ControlNotice, type DaemonRequest } from '../control/daemon-messages.js';
 import type { CancelTimer, Client, ClientIdentity, Runtime, Traffic } from '../runtime/runtime.js';
 
-/** What the owner of a link is told. */
+/** Callbacks of a link. */
 export interface ReplicaLinkHandlers {
   /** A connection was opened; `send` may be called. */
   onOpen(): void;
   onNotice(notice: ControlNotice): void;
-  /** The connection broke; the link does not go elsewhere by itself. */
+  /** The connection was lost; the link does not switch to another replica by itself. */
   onLost(): void;
 }
 
-/** Where a link starts and how long it waits before it changes. */
+/** Options of a link. */
 export interface ReplicaLinkOptions {
+  /** Index of the replica to connect to first. */
   readonly firstPosition: number;
-  /** Pause before another replica is tried, in ms. */
-  readonly switchPauseMs: number;
+  /** Delay before connecting to another replica, in ms. */
+  readonly switchDelayMs: number;
 }
 
-/** A connection to one of the control replicas. */
+/** Connection to one of the control replicas. */
 export class ReplicaLink {
-  /** Changes to another replica. */
+  /** Number of switches to another replica. */
   switches = 0;
   private position: number;
   private client: Client;
@@ -39,33 +40,33 @@
     this.client = this.dial();
   }
 
-  /** Sends to the present replica; returns false when there is no connection. */
+  /** Sends to the current replica; returns false if there is no connection. */
   send(request: DaemonRequest): boolean {
     return this.client.send(request);
   }
 
-  /** Bytes over all connections of this link. */
+  /** Returns the bytes over all connections of this link. */
   traffic(): Traffic {
     return addTraffic(this.closedTraffic, this.client.traffic());
   }
 
-  /** Name of the replica that this link goes to at present. */
+  /** Name of the current replica. */
   get replicaName(): string | null {
     return this.control[this.position % this.control.length]?.name ?? null;
   }
 
-  /** Goes to the next replica in order, after the pause; does nothing while a change is under way. */
+  /** Switches to the next replica in order after the switch delay; has no effect while a switch is pending. */
   switchToNext(): void {
     this.switchTo(this.position + 1);
   }
 
-  /** Goes to a replica by name, or to the next when that is not known. */
+  /** Switches to a replica by name, or to the next one if the name is unknown. */
   switchToReplica(name: string | null): void {
     const known = this.control.findIndex((replica) => replica.name === name);
     this.switchTo(known >= 0 ? known : this.position + 1);
   }
 
-  /** Closes for good. */
+  /** Closes the link permanently. */
   stop(): void {
     this.cancelSwitch?.();
     this.client.stop();
@@ -74,7 +75,7 @@
   private switchTo(position: number): void {
     if (this.cancelSwitch !== null) return;
     this.switches += 1;
-    this.cancelSwitch = this.runtime.after(this.options.switchPauseMs, () => {
+    this.cancelSwitch = this.runtime.after(this.options.switchDelayMs, () => {
       this.cancelSwitch = null;
       this.closedTraffic = this.traffic();
       this.client.stop();
--- a/src/control-client/session-channel.ts
+++ b/src/control-client/session-channel.ts
@@ -1,53 +1,53 @@
-/** An agent's way to the leader: finds it, and follows it when it changes. */
+/** Connection to the leader: finds the leading replica and follows changes of leadership. */
 import type { NamedAddress } from '../config/daemon-settings.js';
 import type { ControlNotice, DaemonRequest } from '../control/daemon-messages.js';
 import type { CancelTimer, ClientIdentity, Runtime, Traffic } from '../runtime/runtime.js';
 import { ReplicaLink } from './replica-link.js';
 
-/** Pause before another replica is tried, in ms. */
-const SWITCH_PAUSE_MS = 50;
+/** Delay before connecting to another replica, in ms. */
+const SWITCH_DELAY_MS = 50;
 
-/** Time in ms without any notice after which another replica is tried. */
-const SILENCE_MS = 700;
+/** Initial time in ms without a notice after which another replica is tried. */
+const INITIAL_SILENCE_TIMEOUT_MS = 700;
 
 /**
- * Longest such time. It doubles with each replica that is left: a leader that is slow because hundreds ask at once
- * would otherwise be left before it can answer anybody.
+ * Upper bound of the silence timeout, in ms. The timeout doubles each time a silent replica is left; otherwise a leader
+ * that is slow because hundreds of daemons call it at once would be left before it can answer any of them.
  */
-const LONGEST_SILENCE_MS = 6_000;
+const MAX_SILENCE_TIMEOUT_MS = 6_000;
 
 /**
- * Time in ms for which a replica that was left for its silence is not gone back to: for as long as an election takes,
- * the others still name it as the leader.
+ * Time in ms for which a replica that was left as silent is avoided: until an election completes, the other replicas
+ * still name it as the leader.
  */
-const AVOID_SILENT_MS = 1_500;
+const AVOID_SILENT_REPLICA_MS = 1_500;
 
-/** Pause between looks at the silence, in ms. */
-const SILENCE_CHECK_MS = 100;
+/** Interval between checks for a silent replica, in ms. */
+const SILENCE_CHECK_INTERVAL_MS = 100;
 
-/** Pause in ms before a replica that knows no leader is asked again. */
-const ASK_AGAIN_MS = 100;
+/** Delay before requests are sent again to a replica that knows no leader, in ms. */
+const NO_LEADER_RETRY_MS = 100;
 
-/** Questions to one replica that knows no leader, before another is tried: it may be cut off from the others. */
-const QUESTIONS_BEFORE_SWITCH = 4;
+/** Answers without a leader after which another replica is tried: the current one may be partitioned from the others. */
+const NO_LEADER_ANSWERS_BEFORE_SWITCH = 4;
 
-/** What the owner of a channel is told. */
+/** Callbacks of a channel. */
 export interface SessionChannelHandlers {
   onNotice(notice: ControlNotice): void;
-  /** A connection was opened: this replica may not know what was reported before. */
+  /** A connection was opened; this replica may not know earlier reports. */
   onOpen(): void;
-  /** The replica may lead by now: whatever waits for a leader should be sent. */
-  onAsk(): void;
+  /** The replica may be the leader by now: requests that wait for a leader should be sent. */
+  onMayLead(): void;
 }
 
-/** A connection to whichever replica leads. */
+/** Connection that follows the leading replica. */
 export class SessionChannel {
   private readonly link: ReplicaLink;
   private readonly cancelSilenceCheck: CancelTimer;
   private lastNoticeMs: number;
-  private silenceMs = SILENCE_MS;
-  private questions = 0;
-  private cancelQuestion: CancelTimer | null = null;
+  private silenceTimeoutMs = INITIAL_SILENCE_TIMEOUT_MS;
+  private noLeaderAnswers = 0;
+  private cancelRetry: CancelTimer | null = null;
   private silentReplica: string | null = null;
   private avoidUntilMs = -Infinity;
 
@@ -58,13 +58,13 @@
     private readonly handlers: SessionChannelHandlers,
   ) {
     this.lastNoticeMs = runtime.nowMs();
-    const options = { firstPosition: 0, switchPauseMs: SWITCH_PAUSE_MS };
+    const options = { firstPosition: 0, switchDelayMs: SWITCH_DELAY_MS };
     this.link = new ReplicaLink(runtime, identity, control, options, {
       onOpen: () => {
         this.lastNoticeMs = runtime.nowMs();
-        this.questions = 0;
+        this.noLeaderAnswers = 0;
         this.handlers.onOpen();
-        this.handlers.onAsk();
+        this.handlers.onMayLead();
       },
       onNotice: (notice) => {
         this.receive(notice);
@@ -73,48 +73,48 @@
         this.link.switchToNext();
       },
     });
-    this.cancelSilenceCheck = runtime.every(SILENCE_CHECK_MS, () => {
-      this.leaveIfSilent();
+    this.cancelSilenceCheck = runtime.every(SILENCE_CHECK_INTERVAL_MS, () => {
+      this.switchIfSilent();
     });
   }
 
-  /** Sends to the present replica; returns false when there is no connection. */
+  /** Sends to the current replica; returns false if there is no connection. */
   send(request: DaemonRequest): boolean {
     return this.link.send(request);
   }
 
-  /** Bytes over all connections of this channel. */
+  /** Returns the bytes over all connections of this channel. */
   traffic(): Traffic {
     return this.link.traffic();
   }
 
-  /** Closes for good. */
+  /** Closes the channel permanently. */
   stop(): void {
     this.cancelSilenceCheck();
-    this.cancelQuestion?.();
+    this.cancelRetry?.();
     this.link.stop();
   }
 
-  private leaveIfSilent(): void {
+  private switchIfSilent(): void {
     const nowMs = this.runtime.nowMs();
-    if (nowMs - this.lastNoticeMs <= this.silenceMs) return;
-    this.silenceMs = Math.min(this.silenceMs * 2, LONGEST_SILENCE_MS);
+    if (nowMs - this.lastNoticeMs <= this.silenceTimeoutMs) return;
+    this.silenceTimeoutMs = Math.min(this.silenceTimeoutMs * 2, MAX_SILENCE_TIMEOUT_MS);
     this.lastNoticeMs = nowMs;
     this.silentReplica = this.link.replicaName;
-    this.avoidUntilMs = nowMs + AVOID_SILENT_MS;
+    this.avoidUntilMs = nowMs + AVOID_SILENT_REPLICA_MS;
     this.link.switchToNext();
   }
 
   private receive(notice: ControlNotice): void {
     if (notice.kind === 'not-leader') {
-      const elsewhere = notice.leader !== null && notice.leader !== this.link.replicaName;
-      if (elsewhere && !this.isAvoided(notice.leader)) this.link.switchToReplica(notice.leader);
-      else this.askAgain();
+      const namesOtherReplica = notice.leader !== null && notice.leader !== this.link.replicaName;
+      if (namesOtherReplica && !this.isAvoided(notice.leader)) this.link.switchToReplica(notice.leader);
+      else this.retryOrSwitch();
       return;
     }
     this.lastNoticeMs = this.runtime.nowMs();
-    this.silenceMs = SILENCE_MS;
-    this.questions = 0;
+    this.silenceTimeoutMs = INITIAL_SILENCE_TIMEOUT_MS;
+    this.noLeaderAnswers = 0;
     this.handlers.onNotice(notice);
   }
 
@@ -122,17 +122,20 @@
     return replica === this.silentReplica && this.runtime.nowMs() < this.avoidUntilMs;
   }
 
-  /** While nobody leads, hundreds of agents that went from replica to replica would keep all of them busy. */
-  private askAgain(): void {
-    if (this.cancelQuestion !== null) return;
-    this.questions += 1;
-    if (this.questions >= QUESTIONS_BEFORE_SWITCH) {
+  /**
+   * Tries the same replica again a few times before switching: without a leader, hundreds of agents cycling through the
+   * replicas would overload all of them.
+   */
+  private retryOrSwitch(): void {
+    if (this.cancelRetry !== null) return;
+    this.noLeaderAnswers += 1;
+    if (this.noLeaderAnswers >= NO_LEADER_ANSWERS_BEFORE_SWITCH) {
       this.link.switchToNext();
       return;
     }
-    this.cancelQuestion = this.runtime.after(ASK_AGAIN_MS, () => {
-      this.cancelQuestion = null;
-      this.handlers.onAsk();
+    this.cancelRetry = this.runtime.after(NO_LEADER_RETRY_MS, () => {
+      this.cancelRetry = null;
+      this.handlers.onMayLead();
     });
   }
 }
--- a/src/control-client/watched-table.ts
+++ b/src/control-client/watched-table.ts
@@ -1,4 +1,4 @@
-/** A daemon's copy of the published state. Its index and revision never go back. */
+/** Copy of the published state in a daemon. Its index and revision never decrease. */
 import type { ServiceConfiguration } from '../config/configuration.js';
 import type { ConfigurationChange } from '../control/changes.js';
 import type { Session } from '../control/control-state.js';
@@ -10,11 +10,11 @@
 import { ShardTable } from '../model/shard-table.js';
 import type { ShardRow } from '../model/shard.js';
 
-/** The published state as far as this daemon has it. */
+/** Published state as received by this daemon. */
 export class WatchedTable {
   readonly services = new Map<string, ServiceConfiguration>();
   readonly draining = new Set<string>();
-  /** Requests under which back ends have ended. */
+  /** Crash records and quarantine status of requests. */
   readonly quarantine = new QuarantineView();
   readonly sessions = new Map<number, Session>();
   private readonly sessionsByBackend = new Map<string, Session>();
@@ -22,35 +22,35 @@
   private currentIndex = 0;
   private currentRevision = 0;
 
-  /** `backend` is given where only what concerns that back end is watched. */
+  /** `backend` limits the table to the state of one back end; null for the whole state. */
   constructor(private readonly backend: string | null = null) {}
 
-  /** Index of the newest change that is in here; 0 before the first table. */
+  /** Index of the latest applied change; 0 before the first table. */
   get index(): number {
     return this.currentIndex;
   }
 
-  /** Revision of the configuration that is in here. */
+  /** Revision of the current configuration. */
   get revision(): number {
     return this.currentRevision;
   }
 
-  /** Row of one shard; undefined when nobody has owned it as far as this daemon was told. */
+  /** Returns the row of a shard; undefined if this daemon has received none, that is, no known owner yet. */
   row(service: string, shard: number): ShardRow | undefined {
     return this.shards.get(service)?.get(shard);
   }
 
-  /** All rows of a service that this daemon was told of. */
+  /** Returns all rows of a service that this daemon has received. */
   rowsOf(service: string): IterableIterator<ShardRow> {
-    return (this.shards.get(service) ?? this.newRows()).rows();
+    return (this.shards.get(service) ?? this.createRows()).rows();
   }
 
-  /** The open session of a back end. */
+  /** Returns the open session of a back end. */
   sessionOf(backend: string): Session | undefined {
     return this.sessionsByBackend.get(backend);
   }
 
-  /** Takes a whole table; returns false when it is older than this one. */
+  /** Replaces the whole table; returns false if the new one is older than the current one. */
   replace(index: number, table: StateSnapshot): boolean {
     if (index < this.currentIndex) return false;
     this.currentIndex = index;
@@ -70,15 +70,15 @@
     return true;
   }
 
-  /** Takes the changes of one index; returns false when they are in here already. */
+  /** Applies the changes of one index; returns false if they are already applied. */
   apply(index: number, changes: readonly WireChange[]): boolean {
     if (index <= this.currentIndex) return false;
     this.currentIndex = index;
-    for (const change of changes) this.applyOne(change);
+    for (const change of changes) this.applyChange(change);
     return true;
   }
 
-  private applyOne(change: WireChange): void {
+  private applyChange(change: WireChange): void {
     switch (change.kind) {
       case 'configuration':
         this.applyConfiguration(change);
@@ -122,12 +122,12 @@
   }
 
   private setRows(packed: PackedRows): void {
-    const table = this.shards.get(packed.service) ?? this.newRows();
+    const table = this.shards.get(packed.service) ?? this.createRows();
     this.shards.set(packed.service, table);
     table.setPacked(packed);
   }
 
-  private newRows(): ShardTable | ScopedRows {
+  private createRows(): ShardTable | ScopedRows {
     return this.backend === null ? new ShardTable() : new ScopedRows(this.backend);
   }
 }
--- a/test/agent/late-calls.test.ts
+++ b/test/agent/late-calls.test.ts
@@ -1,6 +1,7 @@
 /**
- * A call by which an agent granted shards got no answer, so the agent gave its session up and took the back end anew. The call
- * was carried out after that, and the back end held shards under an epoch that had been given to another one.
+ * Guards against late grants. A call that grants shards gets no answer, so the agent leaves its session and takes over the
+ * back end again. If the call is executed after that, the back end must not serve the shards: their epoch may have been
+ * granted to another back end.
  */
 import test from 'ava';
 import { Random } from '../../lab/random.js';
@@ -8,7 +9,7 @@
 import { makeGrantTable, SimBackend } from '../../lab/sim/sim-backend.js';
 import { SimProcess } from '../../lab/sim/sim-process.js';
 
-const LATE_MS = 3_000;
+const CALL_DELAY_MS = 3_000;
 const DEADLINE_MS = 60_000;
 const CLOCK = { startMs: 0, rate: 1, wallOffsetMs: 0 };
 
@@ -19,7 +20,7 @@
   return { shard, epoch, freshAfterMs: 0, window: [] };
 }
 
-test('a grant of a session that was left is refused when it is carried out late', async (t) => {
+test('a grant of a session that was left is refused when it is executed late', async (t) => {
   const queue = new EventQueue();
   const machine = new SimProcess('back-end', queue, CLOCK);
   const agent = machine.onSameMachine('agent');
@@ -34,22 +35,22 @@
   backend.start();
   agent.start();
   const port = backend.portFor(agent, 'agent-1');
-  const settle = async (untilMs: number): Promise<void> => {
+  const runUntil = async (untilMs: number): Promise<void> => {
     while (queue.runNext(untilMs)) await new Promise((resolve) => setImmediate(resolve));
   };
-  const taken = port.takeHolder();
-  await settle(100);
-  t.true((await taken).ok);
-  backend.heldUpMs = LATE_MS;
+  const firstHolder = port.takeHolder();
+  await runUntil(100);
+  t.true((await firstHolder).ok);
+  backend.heldUpMs = CALL_DELAY_MS;
   const late = port.addGrants(DEADLINE_MS, [grantOf(7, 3)]);
   backend.heldUpMs = 0;
-  await settle(1_000);
-  t.true((await late).err, 'it got no answer');
-  const takenAgain = port.takeHolder();
-  await settle(1_100);
-  t.true((await takenAgain).ok);
+  await runUntil(1_000);
+  t.true((await late).err, 'the call got no answer');
+  const secondHolder = port.takeHolder();
+  await runUntil(1_100);
+  t.true((await secondHolder).ok);
   const granted = port.addGrants(DEADLINE_MS, [grantOf(9, 5)]);
-  await settle(LATE_MS * 2);
+  await runUntil(CALL_DELAY_MS * 2);
   t.true((await granted).ok);
   t.deepEqual(backend.grants.servableShards(), [9]);
 });
