--- a/src/agent/grant-keeper.ts
+++ b/src/agent/grant-keeper.ts
@@ -20,7 +20,7 @@
   grantsInstalled: number;
   handoversDone: number;
   handoversRefused: number;
-  /** Longest time from the start of a release to its report, in ms. */
+  /** Longest time from the stop of admission to the report of a release, in ms. */
   longestReleaseMs: number;
 }
 
--- a/src/agent/handover-sender.ts
+++ b/src/agent/handover-sender.ts
@@ -10,7 +10,7 @@
 /** Time in ms after which an idle connection to another agent is closed. */
 const IDLE_TIMEOUT_MS = 30_000;
 
-/** Interval between attempts to send a message while the connection is being opened, in ms. */
+/** Interval between attempts to send a message while its connection is being opened, in ms. */
 const SEND_RETRY_INTERVAL_MS = 20;
 
 /** Shard being handed over. */
--- a/src/control-client/control-watch.ts
+++ b/src/control-client/control-watch.ts
@@ -91,7 +91,7 @@
     this.link.switchToNext();
   }
 
-  /** Whether a change was missed. Never true for a watch scoped to one back end, since it does not receive every change. */
+  /** Whether a change was missed; always false for a watch of one back end, which does not receive every change. */
   private hasMissed(index: number): boolean {
     return this.scope === null && index > this.table.index;
   }
--- a/src/control-client/leader-calls.ts
+++ b/src/control-client/leader-calls.ts
@@ -10,7 +10,7 @@
 /** Time in ms without requests after which the connection is closed. */
 const IDLE_TIMEOUT_MS = 10_000;
 
-/** Maximum number of requests queued until a leader is found; beyond it the oldest are dropped. Callers repeat unanswered ones. */
+/** Maximum number of requests queued until a leader is found; the oldest are dropped. Callers repeat unanswered requests. */
 const MAX_QUEUED_REQUESTS = 64;
 
 /** Client for the current leader. */
--- a/src/router/router-state.ts
+++ b/src/router/router-state.ts
@@ -116,7 +116,7 @@
     return available;
   }
 
-  /** Resets the health of a back end on a new session: it may be another incarnation, so earlier observations are void. */
+  /** Resets the health of a back end on a new session, since earlier observations concern the previous incarnation. */
   private resetHealthOnNewSession(backend: string, session: number): void {
     const state = this.backends.peek(backend);
     if (state === undefined || state.session === session) return;
--- a/src/router/run-guard.ts
+++ b/src/router/run-guard.ts
@@ -1,7 +1,7 @@
 /**
  * Restricts requests that back ends crash on, for one router: decides which may run, and reports crashes to control.
- * A router shares its back ends with other routers and cannot keep one clear of their requests, so a suspect runs by
- * permit alongside requests of other routers; it counts as alone if this router had nothing else in flight there.
+ * Other routers use the same back ends, and a router cannot exclude their requests from one, so a suspect runs by permit
+ * alongside them; it counts as alone if this router has nothing else in flight at the back end.
  */
 import { sessionLife } from '../control/control-state.js';
 import type { SocketAddress } from '../model/socket-address.js';
@@ -117,8 +117,8 @@
   }
 
   /**
-   * Records that a run ended without an answer. Resolves once it is known whether its back end has ended and, if so,
-   * the end is recorded.
+   * Records that a run ended without an answer. Resolves once the back end is known to be live or its end is recorded,
+   * at the latest after the maximum wait of the reporter.
    */
   async runInterrupted(run: GuardedRun, backend: GuardedBackend): Promise<void> {
     const endedMs = this.ports.runtime.nowMs();
--- a/test/agent/late-calls.test.ts
+++ b/test/agent/late-calls.test.ts
@@ -1,7 +1,7 @@
 /**
- * Guards against late grants. A call that grants shards gets no answer, so the agent leaves its session and takes over the
- * back end again. If the call is executed after that, the back end must not serve the shards: their epoch may have been
- * granted to another back end.
+ * Guards against late grants. A call that grants shards got no answer, so the agent left its session and took over the
+ * back end again. The call was executed after that, and the back end held shards under an epoch that had been granted to
+ * another back end.
  */
 import test from 'ava';
 import { Random } from '../../lab/random.js';
