--- a/lab/sim/sim-router.ts
+++ b/lab/sim/sim-router.ts
@@ -8,7 +8,7 @@
   OWNER_RETRY_AFTER_MS,
   type AttemptFailure,
 } from '../../src/router/attempt-policy.js';
-import { refusal, type Refusal } from '../../src/router/refusal.js';
+import { createRefusal, type Refusal } from '../../src/router/refusal.js';
 import { selectOwner, type RoutingView, type Target } from '../../src/router/target-selection.js';
 import type { BackendAnswer, BackendRequest, SimBackend } from './sim-backend.js';
 import type { SimNetwork } from './sim-network.js';
@@ -66,12 +66,12 @@
   async handle(request: RoutedRequest): Promise<RoutedEnd> {
     const deadlineMs = this.runtime.nowMs() + request.budgetMs;
     const service = this.table.services.get(request.service);
-    if (service === undefined) return ended(refusal('not-ready', 'no table yet', OWNER_RETRY_AFTER_MS));
+    if (service === undefined) return ended(createRefusal('not-ready', 'no table yet', OWNER_RETRY_AFTER_MS));
     let waitedMs = 0;
     for (let attempts = 0; ;) {
       const target = selectOwner(this.view, request.service, service, request.key);
       if (typeof target === 'string') {
-        if (waitedMs >= OWNER_WAIT_MS) return ended(refusal(target, 'no owner', OWNER_RETRY_AFTER_MS));
+        if (waitedMs >= OWNER_WAIT_MS) return ended(createRefusal(target, 'no owner', OWNER_RETRY_AFTER_MS));
         waitedMs += await this.pause(OWNER_WAIT_MS - waitedMs);
         continue;
       }
@@ -83,12 +83,12 @@
         bodyAvailable: true,
         attempts,
         remainingMs: deadlineMs - this.runtime.nowMs(),
-        takeRetry: () => true,
+        tryConsumeRetry: () => true,
       });
       if (decision.kind === 'end') return ended(decision.refusal);
-      waitedMs += await this.pause(decision.pauseMs);
+      waitedMs += await this.pause(decision.backoffMs);
       if (waitedMs >= OWNER_WAIT_MS)
-        return ended(refusal('no-owner', 'changing owner', OWNER_RETRY_AFTER_MS));
+        return ended(createRefusal('no-owner', 'changing owner', OWNER_RETRY_AFTER_MS));
     }
   }
 
--- a/src/agent/agent-node.ts
+++ b/src/agent/agent-node.ts
@@ -1,6 +1,6 @@
 /**
  * Agent of a back end: maintains the back end's session at control and reports its load. Grants and handovers
- * are handled in `grant-keeper.ts`.
+ * are handled in `grant-manager.ts`.
  */
 import type { AgentSettings } from '../config/daemon-settings.js';
 import type { ControlNotice } from '../control/daemon-messages.js';
@@ -11,13 +11,13 @@
 import { WatchedTable } from '../control-client/watched-table.js';
 import { nodeRuntime } from '../runtime/node-runtime.js';
 import type { CancelTimer, ClientIdentity, Runtime, Traffic } from '../runtime/runtime.js';
-import { holderLife, type HolderAnswer } from '../backend-contract/grant-messages.js';
+import { holderIncarnation, type HolderAnswer } from '../backend-contract/grant-messages.js';
 import { BackendClient } from './backend-client.js';
 import type { BackendCallError, BackendPort } from './backend-port.js';
-import { GrantKeeper } from './grant-keeper.js';
+import { GrantManager } from './grant-manager.js';
 import { HandoverReceiver } from './handover-receiver.js';
 import { HandoverSender } from './handover-sender.js';
-import { LeaseHolder, steadyDeadline } from './lease-holder.js';
+import { LeaseHolder, toMonotonicDeadline } from './lease-holder.js';
 import { LoadReport } from './load-report.js';
 
 /**
@@ -51,7 +51,7 @@
 export class AgentNode {
   readonly counters: AgentCounters = { sessionsOpened: 0, renewals: 0 };
   readonly table: WatchedTable;
-  readonly grants: GrantKeeper;
+  readonly grants: GrantManager;
   private readonly lease = new LeaseHolder();
   private readonly backend: BackendPort;
   private readonly channel: SessionChannel;
@@ -84,7 +84,7 @@
     this.receiver = new HandoverReceiver(runtime, token, backend, () => this.ready);
     this.sender = new HandoverSender(runtime, identity);
     this.channel = this.openChannel(identity);
-    this.grants = this.makeGrantKeeper();
+    this.grants = this.createGrantManager();
     this.watch = new ControlWatch(runtime, this.table, identity, control, { service, backend }, () => {
       this.tableChanged();
     });
@@ -182,9 +182,9 @@
     });
   }
 
-  private makeGrantKeeper(): GrantKeeper {
+  private createGrantManager(): GrantManager {
     const { service, backend } = this.settings;
-    return new GrantKeeper({
+    return new GrantManager({
       service,
       backendName: backend,
       backend: this.backend,
@@ -242,7 +242,7 @@
   private async takeHolder(): Promise<void> {
     const taken = await this.backend.takeHolder();
     if (taken.err) return;
-    this.backendIncarnation = holderLife(taken.val);
+    this.backendIncarnation = holderIncarnation(taken.val);
     this.unansweredSinceMs = null;
     this.grants.clear();
     this.nextOpenMs = 0;
@@ -267,7 +267,7 @@
    */
   private async checkSession(): Promise<void> {
     this.unansweredSinceMs ??= this.runtime.nowMs();
-    const answer = await this.backend.extendLease(steadyDeadline(this.runtime, this.lease.deadlineMs));
+    const answer = await this.backend.extendLease(toMonotonicDeadline(this.runtime, this.lease.deadlineMs));
     if (answer.ok) this.backendAnswered(answer.val);
     else this.backendFailed(answer.val);
     this.grants.reportReleases();
@@ -277,7 +277,7 @@
   private backendAnswered(answer: HolderAnswer): void {
     this.unansweredSinceMs = null;
     this.load.count(answer.load);
-    if (holderLife(answer) === this.backendIncarnation) return;
+    if (holderIncarnation(answer) === this.backendIncarnation) return;
     this.closeSession('back end was restarted');
   }
 
--- a/src/agent/grant-keeper.ts
+++ b/src/agent/grant-manager.ts
@@ -10,7 +10,7 @@
 import type { BackendPort } from './backend-port.js';
 import type { HandoverReceiver } from './handover-receiver.js';
 import type { HandoverSender } from './handover-sender.js';
-import { steadyDeadline, type LeaseHolder } from './lease-holder.js';
+import { toMonotonicDeadline, type LeaseHolder } from './lease-holder.js';
 
 /** Interval between reports of a release that control has not yet acted on, in ms. */
 const RELEASE_REPORT_INTERVAL_MS = 300;
@@ -25,7 +25,7 @@
 }
 
 /** Dependencies on the agent. */
-export interface GrantKeeperPorts {
+export interface GrantManagerPorts {
   readonly runtime: Runtime;
   readonly service: string;
   readonly backendName: string;
@@ -48,7 +48,7 @@
 }
 
 /** Grants of one back end. */
-export class GrantKeeper {
+export class GrantManager {
   readonly counters: GrantCounters = {
     grantsInstalled: 0,
     handoversDone: 0,
@@ -64,7 +64,7 @@
   private hasMoves = false;
   private syncFailed = false;
 
-  constructor(private readonly ports: GrantKeeperPorts) {}
+  constructor(private readonly ports: GrantManagerPorts) {}
 
   /** Currently granted shards with their epochs. */
   get grantedShards(): ReadonlyMap<number, number> {
@@ -154,7 +154,7 @@
       const window = [...receiver.takeWindow(service, row.shard, row.epoch - 1)];
       return { shard: row.shard, epoch: row.epoch, freshAfterMs: row.freshAfterMs, window };
     });
-    const deadlineMs = steadyDeadline(this.ports.runtime, lease.deadlineMs);
+    const deadlineMs = toMonotonicDeadline(this.ports.runtime, lease.deadlineMs);
     const installed = await backend.addGrants(deadlineMs, grants);
     if (installed.err) {
       // Whether the windows arrived is unknown; with a new session, control treats them as lost.
--- a/src/agent/lease-holder.ts
+++ b/src/agent/lease-holder.ts
@@ -51,7 +51,7 @@
  * Converts a deadline of the agent's clock to the host's monotonic clock, which the back end reads as well. Subtracts
  * the suspended time, which the agent's clock includes and the monotonic clock does not.
  */
-export function steadyDeadline(clocks: Pick<Runtime, 'nowMs' | 'steadyMs'>, deadlineMs: number): number {
+export function toMonotonicDeadline(clocks: Pick<Runtime, 'nowMs' | 'steadyMs'>, deadlineMs: number): number {
   return deadlineMs - (clocks.nowMs() - clocks.steadyMs());
 }
 
--- a/src/backend-contract/grant-messages.ts
+++ b/src/backend-contract/grant-messages.ts
@@ -110,7 +110,7 @@
 export type HolderAnswer = z.infer<typeof holderAnswerSchema>;
 
 /** Returns the name of the incarnation that answered. */
-export function holderLife({ instance, bornMs }: HolderAnswer): string {
+export function holderIncarnation({ instance, bornMs }: HolderAnswer): string {
   return lifeName({ id: instance, bornMs: bornMs ?? null });
 }
 
--- a/src/router/attempt-policy.ts
+++ b/src/router/attempt-policy.ts
@@ -1,6 +1,6 @@
 /** Retry policy: decides whether a failed attempt is retried or ends the request with a refusal. */
 import type { RefusalCode as BackendRefusalCode } from '../backend-contract/grant-messages.js';
-import { refusal, type Refusal } from './refusal.js';
+import { createRefusal, type Refusal } from './refusal.js';
 
 /** Why an attempt produced no answer for the caller. */
 export type AttemptFailure =
@@ -23,13 +23,14 @@
   /** Time left before the deadline, in ms. */
   readonly remainingMs: number;
   /** Consumes one retry from the budget; false if none is left. Called only if every other condition allows a retry. */
-  readonly takeRetry: () => boolean;
+  readonly tryConsumeRetry: () => boolean;
 }
 
 /** Outcome of the retry decision. */
 export type AttemptDecision =
   /** Retry at the current owner of the key, after a table update or after `backoffMs`, whichever comes first. */
-  { readonly kind: 'retry'; readonly pauseMs: number } | { readonly kind: 'end'; readonly refusal: Refusal };
+  | { readonly kind: 'retry'; readonly backoffMs: number }
+  | { readonly kind: 'end'; readonly refusal: Refusal };
 
 /** Maximum number of attempts per request. */
 const MAX_ATTEMPTS = 8;
@@ -58,10 +59,11 @@
     case 'refused':
       return afterRefusal(failure, context);
     case 'not-sent':
-      if (canRetry(context) && context.takeRetry()) return retryWithBackoff(context);
+      if (canRetry(context) && context.tryConsumeRetry()) return retryWithBackoff(context);
       return endWithRefusal('owner-unreachable', 'the connection could not be opened', OWNER_RETRY_AFTER_MS);
     case 'no-answer':
-      if (context.repeatable && canRetry(context) && context.takeRetry()) return retryWithBackoff(context);
+      if (context.repeatable && canRetry(context) && context.tryConsumeRetry())
+        return retryWithBackoff(context);
       return endWithRefusal(
         'outcome-unknown',
         'the connection ended before the answer',
@@ -85,7 +87,7 @@
       if (canRetry(context)) return retryWithBackoff(context);
       return endWithRefusal('no-owner', `the back end answered ${failure.code}`, OWNER_RETRY_AFTER_MS);
     case 'draining':
-      if (canRetry(context)) return { kind: 'retry', pauseMs: 0 };
+      if (canRetry(context)) return { kind: 'retry', backoffMs: 0 };
       return endWithRefusal('no-owner', 'the back end is leaving', OWNER_RETRY_AFTER_MS);
     case 'overloaded':
       return endWithRefusal(
@@ -112,9 +114,9 @@
 }
 
 function retryWithBackoff(context: AttemptContext): AttemptDecision {
-  return { kind: 'retry', pauseMs: INITIAL_BACKOFF_MS * 2 ** Math.max(0, context.attempts - 1) };
+  return { kind: 'retry', backoffMs: INITIAL_BACKOFF_MS * 2 ** Math.max(0, context.attempts - 1) };
 }
 
 function endWithRefusal(code: Refusal['code'], detail: string, retryAfterMs: number | null): AttemptDecision {
-  return { kind: 'end', refusal: refusal(code, detail, retryAfterMs) };
+  return { kind: 'end', refusal: createRefusal(code, detail, retryAfterMs) };
 }
--- a/src/router/refusal.ts
+++ b/src/router/refusal.ts
@@ -61,7 +61,7 @@
 const MS_PER_SECOND = 1_000;
 
 /** Creates a refusal; its outcome follows from the code. */
-export function refusal(code: RefusalCode, detail: string, retryAfterMs: number | null): Refusal {
+export function createRefusal(code: RefusalCode, detail: string, retryAfterMs: number | null): Refusal {
   return { code, outcome: REFUSAL_RULES[code].outcome, detail, retryAfterMs };
 }
 
--- a/src/router/request-router.ts
+++ b/src/router/request-router.ts
@@ -11,7 +11,7 @@
 import { shardOfKey } from '../model/shard.js';
 import type { IdentifiedRequest } from '../quarantine/request-fingerprint.js';
 import type { Clearance, GuardedBackend, GuardedRun } from './run-guard.js';
-import { refusal, refusalResponse, type Refusal, type RefusalCode } from './refusal.js';
+import { createRefusal, refusalResponse, type Refusal, type RefusalCode } from './refusal.js';
 import { readRequestBody, type RequestBody } from './request-body.js';
 import { deadlineBudgetMs, idempotencyKey, isRepeatable, parsePath, requestKey } from './request-key.js';
 import type { RetryBudget } from './retry-budget.js';
@@ -61,17 +61,17 @@
     startedMs: number,
   ): Promise<RoutedRequest | Refusal> {
     if (this.state.table.index === 0)
-      return refusal('not-ready', 'no table from control yet', OWNER_RETRY_AFTER_MS);
+      return createRefusal('not-ready', 'no table from control yet', OWNER_RETRY_AFTER_MS);
     const path = parsePath(request.url ?? '/');
     const service = this.state.table.services.get(path.service);
-    if (service === undefined) return refusal('unknown-service', path.service, null);
+    if (service === undefined) return createRefusal('unknown-service', path.service, null);
     const { headers } = request;
     const repeatable = isRepeatable(service, request.method ?? 'GET', path.rest);
     const key = service.key === undefined ? null : requestKey(service.key, path, headers);
     if (service.division === 'keyed' && key === null)
-      return refusal('missing-key', describeKey(service), null);
+      return createRefusal('missing-key', describeKey(service), null);
     const body = await readRequestBody(request);
-    if (body === null) return refusal('malformed-request', 'the body broke off', null);
+    if (body === null) return createRefusal('malformed-request', 'the body broke off', null);
     const requestedKey = service.division === 'keyed' ? key : null;
     const identity = identifyRequest(request, body, requestedKey);
     if (identity !== null && this.state.guard.quarantineStatus(identity).stage === 'quarantined')
@@ -122,7 +122,7 @@
       (await this.awaitTableUpdate(routed, this.state.settings.ownerWaitMs));
     return updated
       ? null
-      : refusal(reason, `${routed.serviceName} has no owner for this key`, OWNER_RETRY_AFTER_MS);
+      : createRefusal(reason, `${routed.serviceName} has no owner for this key`, OWNER_RETRY_AFTER_MS);
   }
 
   /** Whether the owner has been down for longer than the maximum owner wait; requests are then refused at once. */
@@ -149,7 +149,7 @@
   private async attempt(routed: RoutedRequest, target: Target): Promise<RequestEnd | null> {
     const backend = this.state.backends.get(routed.service, target.backend);
     if (backend === null)
-      return this.refuse(routed.response, refusal('no-owner', target.backend, OWNER_RETRY_AFTER_MS));
+      return this.refuse(routed.response, createRefusal('no-owner', target.backend, OWNER_RETRY_AFTER_MS));
     const guarded = { name: target.backend, service: routed.serviceName, address: backend.address };
     const clearance = await this.acquireClearance(routed, guarded);
     if (clearance.kind === 'refused') return this.refuse(routed.response, this.clearanceRefusal(routed));
@@ -185,7 +185,8 @@
   ): Promise<Refusal | 'deadline-passed' | null> {
     const slot = await limiter.acquire(routed.deadlineMs - clockMs());
     if (slot.kind === 'deadline-passed') return 'deadline-passed';
-    if (slot.kind === 'refused') return refusal('overloaded', `${name} has no free slot`, slot.retryAfterMs);
+    if (slot.kind === 'refused')
+      return createRefusal('overloaded', `${name} has no free slot`, slot.retryAfterMs);
     // Back ends may have ended while running the same request during the wait.
     if (clearance.kind !== 'free' || !this.isRestricted(routed)) return null;
     limiter.releaseUnused();
@@ -203,7 +204,7 @@
 
   private clearanceRefusal(routed: RoutedRequest): Refusal {
     if (this.isQuarantined(routed)) return quarantineRefusal();
-    return refusal('overloaded', 'it runs alone, one run at a time', OWNER_RETRY_AFTER_MS);
+    return createRefusal('overloaded', 'it runs alone, one run at a time', OWNER_RETRY_AFTER_MS);
   }
 
   /**
@@ -267,15 +268,15 @@
       bodyAvailable: routed.body.repeatable,
       attempts: routed.attempts,
       remainingMs: routed.deadlineMs - clockMs(),
-      takeRetry: () => routed.budget.tryConsume(),
+      tryConsumeRetry: () => routed.budget.tryConsume(),
     });
     if (decision.kind === 'end') return this.refuse(routed.response, decision.refusal);
     this.state.countRetry();
-    await this.awaitTableUpdate(routed, decision.pauseMs);
+    await this.awaitTableUpdate(routed, decision.backoffMs);
     if (routed.waitedMs < this.state.settings.ownerWaitMs) return null;
     return this.refuse(
       routed.response,
-      refusal('no-owner', `${routed.serviceName} is changing owner`, OWNER_RETRY_AFTER_MS),
+      createRefusal('no-owner', `${routed.serviceName} is changing owner`, OWNER_RETRY_AFTER_MS),
     );
   }
 
@@ -300,7 +301,7 @@
 const REQUEST_ID_HEADER = 'x-request-id';
 
 function quarantineRefusal(): Refusal {
-  return refusal('quarantined', 'it has ended the back ends that ran it', null);
+  return createRefusal('quarantined', 'it has ended the back ends that ran it', null);
 }
 
 function requestIdOf({ headers }: IncomingMessage): string {
--- a/test/backend-contract/holder-life.test.ts
+++ b/test/backend-contract/holder-life.test.ts
@@ -1,20 +1,23 @@
 /** A back end that restarts under the same instance is another incarnation. */
 import test from 'ava';
-import { holderAnswerSchema, holderLife } from '../../src/backend-contract/grant-messages.js';
+import { holderAnswerSchema, holderIncarnation } from '../../src/backend-contract/grant-messages.js';
 
 const ANSWER = { instance: 'one', load: [], inFlight: 0 };
 
 test('another start under the same instance is another incarnation', (t) => {
   const first = holderAnswerSchema.parse({ ...ANSWER, bornMs: 1 });
   const second = holderAnswerSchema.parse({ ...ANSWER, bornMs: 2 });
-  t.not(holderLife(first), holderLife(second));
-  t.is(holderLife(first), holderLife(holderAnswerSchema.parse({ ...ANSWER, bornMs: 1, inFlight: 3 })));
+  t.not(holderIncarnation(first), holderIncarnation(second));
+  t.is(
+    holderIncarnation(first),
+    holderIncarnation(holderAnswerSchema.parse({ ...ANSWER, bornMs: 1, inFlight: 3 })),
+  );
 });
 
 test('a back end without a start time is identified by its instance alone', (t) => {
-  const life = holderLife(holderAnswerSchema.parse(ANSWER));
-  t.is(life, holderLife(holderAnswerSchema.parse(ANSWER)));
-  t.not(life, holderLife(holderAnswerSchema.parse({ ...ANSWER, instance: 'two' })));
+  const life = holderIncarnation(holderAnswerSchema.parse(ANSWER));
+  t.is(life, holderIncarnation(holderAnswerSchema.parse(ANSWER)));
+  t.not(life, holderIncarnation(holderAnswerSchema.parse({ ...ANSWER, instance: 'two' })));
 });
 
 for (const bornMs of ['1', 1.5, null]) {
--- a/test/router/attempt-policy.test.ts
+++ b/test/router/attempt-policy.test.ts
@@ -84,7 +84,7 @@
       bodyAvailable: testCase.bodyAvailable ?? true,
       attempts: testCase.attempts ?? 1,
       remainingMs: 1_000,
-      takeRetry: () => testCase.budget ?? true,
+      tryConsumeRetry: () => testCase.budget ?? true,
     });
     const { expected } = testCase;
     if (decision.kind === 'end' && expected.startsWith('outcome-unknown')) {
--- a/test/router/request-key.test.ts
+++ b/test/router/request-key.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { configurationSchema, type ServiceConfiguration } from '../../src/config/configuration.js';
 import { deadlineBudgetMs, isRepeatable, parsePath, requestKey } from '../../src/router/request-key.js';
-import { refusal, refusalResponse, type RefusalCode } from '../../src/router/refusal.js';
+import { createRefusal, refusalResponse, type RefusalCode } from '../../src/router/refusal.js';
 
 function service(endpoints: unknown[] = []): ServiceConfiguration {
   const document = configurationSchema.parse({
@@ -64,7 +64,7 @@
 
 for (const [code, status, outcome] of REFUSALS) {
   test(`refusal ${code} carries its outcome and the retry-after time`, (t) => {
-    const response = refusalResponse(refusal(code, 'why', 1_200));
+    const response = refusalResponse(createRefusal(code, 'why', 1_200));
     t.is(response.status, status);
     t.like(response.headers, {
       'aldertide-outcome': outcome,
