--- a/lab/soak/soak-backend.ts
+++ b/lab/soak/soak-backend.ts
@@ -8,7 +8,7 @@
 import type { GrantMode } from '../../src/directory/directory-state.js';
 import type { SocketAddress } from '../../src/model/socket-address.js';
 import {
-  goodbyeBody,
+  leaveBody,
   healthHeaders,
   heartbeatBody,
   PATHS,
@@ -184,7 +184,7 @@
     this.saidGoodbye = true;
     const endMs = performance.now() + PATIENCE_MS;
     while (this.up && performance.now() < endMs) {
-      if ((await this.call('DELETE', goodbyeBody(this.bornMs))) !== null) {
+      if ((await this.call('DELETE', leaveBody(this.bornMs))) !== null) {
         this.options.judge.drainAcknowledged(this.options.life, performance.now());
         return;
       }
--- a/lab/soak/soak-fleet.ts
+++ b/lab/soak/soak-fleet.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import type { SocketAddress } from '../../src/model/socket-address.js';
-import { settingsText, STAND_IN_COLD_START, STAND_IN_PORTS } from '../../platform/stand-in-wire.js';
+import { renderSettings, STAND_IN_COLD_START, STAND_IN_PORTS } from '../../platform/stand-in-wire.js';
 import { ManagedProcess } from '../fleet/managed-process.js';
 import { pause } from '../pause.js';
 import type { Random } from '../random.js';
@@ -179,7 +179,7 @@
     const sidecar = plan.sidecars.find(({ name }) => name === machine.name);
     const directory = plan.directories.find(({ name }) => name === machine.name);
     const backend = { host: machine.ip, port: STAND_IN_PORTS.backend };
-    return settingsText({
+    return renderSettings({
       name: machine.name,
       zone: sidecar?.zone ?? directory?.zone ?? '',
       zones: [...new Set(plan.sidecars.map(({ zone }) => zone))],
--- a/src/cli/agent-daemon.ts
+++ b/src/cli/agent-daemon.ts
@@ -1,4 +1,4 @@
-/** `aldertide agent`: holds the session of one back end, with health and metrics. */
+/** `aldertide agent`: maintains the session of one back end, and serves health and metrics. */
 import 'reflect-metadata';
 import { Module } from '@nestjs/common';
 import { NestFactory } from '@nestjs/core';
@@ -15,7 +15,7 @@
 @Module({})
 class AgentModule {}
 
-/** Starts an agent. */
+/** Starts an agent with its management interface. */
 export async function startAgent(
   settings: AgentSettings,
   token: string,
--- a/src/cli/control-daemon.ts
+++ b/src/cli/control-daemon.ts
@@ -1,4 +1,4 @@
-/** `aldertide control`: a replica of the replicated state, with its operator interface. */
+/** `aldertide control`: a control replica with its operator interface. */
 import type { Registry } from 'prom-client';
 import type { ControlSettings } from '../config/daemon-settings.js';
 import { ControlNode } from '../control/control-node.js';
@@ -8,7 +8,7 @@
 import { createRegistry, exposeValue } from '../telemetry/metrics.js';
 import type { RunningDaemon } from './daemon-command.js';
 
-/** Starts a control replica. */
+/** Starts a control replica with its operator interface. */
 export async function startControl(
   settings: ControlSettings,
   token: string,
--- a/src/cli/daemon-command.ts
+++ b/src/cli/daemon-command.ts
@@ -1,4 +1,4 @@
-/** Starts a daemon from its settings file and stops it cleanly on SIGTERM or SIGINT. */
+/** Runs a daemon from its settings file and shuts it down cleanly on SIGTERM or SIGINT. */
 import type { z } from 'zod';
 import { readSettings } from '../config/daemon-settings.js';
 import { formatProblem } from '../config/yaml-file.js';
@@ -18,7 +18,7 @@
   readonly logLevel: string;
 }
 
-/** How a daemon is started; `onFatal` ends it when it can no longer keep its promises. */
+/** Function that starts a daemon; the daemon calls `onFatal` to end the process if it can no longer operate safely. */
 export type StartDaemon<T> = (
   settings: T,
   token: string,
@@ -26,7 +26,7 @@
   onFatal: (error: unknown) => void,
 ) => Promise<Result<RunningDaemon, string>>;
 
-/** Runs a daemon until it is told to stop. */
+/** Runs a daemon until a signal or a fatal error; returns an exit code if it cannot start. */
 export async function runDaemon<T extends DaemonSettings>(
   kind: string,
   options: Options,
@@ -34,7 +34,7 @@
   start: StartDaemon<T>,
 ): Promise<number> {
   const file = textOption(options, 'settings');
-  if (file === null) return usageError(`aldertide ${kind}: --settings FILE is needed`);
+  if (file === null) return usageError(`aldertide ${kind}: --settings FILE is required`);
   const read = readSettings(file, schema);
   if (read.err) return usageError(read.val.map((problem) => formatProblem(problem)).join('\n'));
   const { settings, token } = read.val;
--- a/src/cli/exit-code.ts
+++ b/src/cli/exit-code.ts
@@ -1,12 +1,12 @@
-/** Exit codes of all commands; see the table in docs/OPERATIONS.md. */
+/** Exit codes of all commands; docs/OPERATIONS.md lists them. */
 export const EXIT_CODE = {
-  /** The command did what was asked. */
+  /** The command succeeded. */
   done: 0,
-  /** What was asked was refused, or a check found problems. */
+  /** The request was refused, or a check found problems. */
   refused: 1,
-  /** The command line or a settings file is wrong. */
+  /** The command line or a settings file is invalid. */
   usage: 2,
-  /** No control replica could be reached, or none leads. */
+  /** No control replica could be reached, or there is no leader. */
   unreachable: 3,
 } as const;
 
--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -1,12 +1,12 @@
-/** `aldertide explain`: from a request's id to its cause, by the daemons' logs alone. */
+/** `aldertide explain`: determines the cause of a request's outcome from the daemons' logs. */
 import { readFileSync } from 'node:fs';
 import { explainRequest, readEvents, type LoggedEvent } from '../telemetry/explain.js';
 import { usageError } from './command-line.js';
 import { EXIT_CODE } from './exit-code.js';
 
-/** Prints what the logs in `files` say about a request; returns the exit code. */
+/** Prints the events and the cause of a request from the logs in `files`; returns the exit code. */
 export function explainCommand(requestId: string, files: readonly string[], asJson: boolean): number {
-  if (files.length === 0) return usageError('aldertide explain: give the files that hold the logs');
+  if (files.length === 0) return usageError('aldertide explain: no log files given');
   let events: LoggedEvent[];
   try {
     events = files.flatMap((file) => readEvents(readFileSync(file, 'utf8')));
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,4 +1,4 @@
-/** `aldertide`: the daemons and the operators' tools. */
+/** Command line `aldertide`: daemons and operator tools. */
 import sade from 'sade';
 import {
   agentSettingsSchema,
@@ -29,7 +29,7 @@
 
 program
   .command('control')
-  .describe('Run a control replica: it keeps ownership and configuration on its disk.')
+  .describe('Run a control replica, which stores ownership and configuration on its disk.')
   .option('--settings', 'Settings file (YAML)')
   .action(
     async (options: Options) => await runDaemon('control', options, controlSettingsSchema, startControl),
@@ -37,13 +37,13 @@
 
 program
   .command('agent')
-  .describe('Run the agent beside a back end: it holds its session and its grants.')
+  .describe('Run the agent of a back end, which maintains its session and grants.')
   .option('--settings', 'Settings file (YAML)')
   .action(async (options: Options) => await runDaemon('agent', options, agentSettingsSchema, startAgent));
 
 program
   .command('router')
-  .describe('Run a router: it takes requests to the back ends that own their keys.')
+  .describe('Run a router, which forwards requests to the back ends that own their keys.')
   .option('--settings', 'Settings file (YAML)')
   .action(async (options: Options) => {
     return await runDaemon('router', options, routerSettingsSchema, async (settings, token, logger) => {
@@ -59,14 +59,14 @@
   .action(async (file: string, options: Options) => await checkCommand(file, options));
 
 withOperatorOptions(program.command('apply <file>').describe('Submit a configuration file.'))
-  .option('--submission-id', 'Name of this submission; a resend under the same name gets the first answer')
-  .option('--base-revision', 'Revision that the change was made on; the one in force when left out')
+  .option('--submission-id', 'Id of this submission; a retry with the same id gets the first answer')
+  .option('--base-revision', 'Revision that the change is based on (default: the one in force)')
   .action(async (file: string, options: Options) => await applyCommand(file, options));
 
 withOperatorOptions(
   program.command('plan <file>').describe('Show what a configuration would do before it is submitted.'),
 )
-  .option('--snapshot', 'State to plan on, as `GET /v1/snapshot` gives it, in place of the live one')
+  .option('--snapshot', 'File with the answer of `GET /v1/snapshot`, used instead of the live state')
   .action(async (file: string, options: Options) => await planCommand(file, options));
 
 withOperatorOptions(program.command('get').describe('Print the configuration in force.')).action(
@@ -77,40 +77,40 @@
   program.command('status').describe('Show replicas, services, back ends and daemons.'),
 ).action(async (options: Options) => await statusCommand(options));
 
-withOperatorOptions(program.command('drain <backend>').describe('Move everything off a back end.'))
-  .option('--undo', 'Take the back end back into service')
+withOperatorOptions(program.command('drain <backend>').describe('Move all shards off a back end.'))
+  .option('--undo', 'Return the back end to service')
   .action(async (backend: string, options: Options) => await drainCommand(backend, options));
 
 withOperatorOptions(
-  program.command('evacuate <zone>').describe('Move everything off all back ends of a zone.'),
+  program.command('evacuate <zone>').describe('Move all shards off the back ends of a zone.'),
 )
-  .option('--end', 'Take the zone back into service')
+  .option('--end', 'Return the zone to service')
   .action(async (zone: string, options: Options) => await evacuateCommand(zone, options));
 
 withOperatorOptions(
   program
     .command('quarantine [fingerprint]')
-    .describe('Show the requests under which back ends end, or give one of them another chance.'),
+    .describe('List the requests that crash back ends, or change the record of one of them.'),
 )
-  .option('--reopen', 'Let it run once more; three runs may follow its third end')
-  .option('--forget', 'Hold nothing against it any more; it may end three back ends again')
+  .option('--reopen', 'Permit one more run; three runs may follow its third crash')
+  .option('--forget', 'Discard its record; it may then crash three back ends again')
   .action(async (fingerprint: string | undefined, options: Options) => {
     return await quarantineCommand(fingerprint, options);
   });
 
 program
   .command('replay <file>')
-  .describe('Step through a simulation that was written by `aldertide-lab sim --trace`.')
-  .option('--json', 'Print one JSON object in place of the trace')
+  .describe('Step through a simulation trace written by `aldertide-lab sim --trace`.')
+  .option('--json', 'Print one JSON object instead of the trace')
   .action(async (file: string, options: Options) => {
-    // The simulator is part of the lab; daemons never load it.
+    // Imported on demand: the simulator is part of the lab, which daemons never load.
     const { replayFile } = await import('../../lab/sim/replay-command.js');
     return await replayFile(file, options['json'] === true);
   });
 
 program
   .command('explain <request> [files...]')
-  .describe("Find a request's path and the cause of its end in the daemons' logs.")
+  .describe("Determine the path of a request and the cause of its outcome from the daemons' logs.")
   .option('--json', 'Print one JSON object')
   .action((request: string, file: string | undefined, options: Options & { _: readonly string[] }) => {
     const files = file === undefined ? [] : [file, ...options._];
--- a/src/cli/operator-client.ts
+++ b/src/cli/operator-client.ts
@@ -1,4 +1,4 @@
-/** Calls the operator interface of whichever control replica leads. */
+/** Client of the operator interface of the control replicas. */
 import { request } from 'undici';
 import { readToken } from '../config/daemon-settings.js';
 import { Err, Ok, type Result } from '../result.js';
@@ -6,58 +6,58 @@
 import { EXIT_CODE, type ExitCode } from './exit-code.js';
 
 const REQUEST_TIMEOUT_MS = 8_000;
-const RETRY_PAUSE_MS = 200;
-/** Rounds over all replicas before the leader counts as unreachable. */
-const ROUNDS = 15;
+const RETRY_DELAY_MS = 200;
+/** Number of rounds over all replicas after which the leader counts as unreachable. */
+const MAX_ROUNDS = 15;
 
 const STATUS_OK = 200;
 const STATUS_NOT_LEADER = 421;
 
-/** Why a call failed, and the exit code that tells so. */
+/** Reason why a call failed, and the corresponding exit code. */
 export interface OperatorError {
   readonly exitCode: ExitCode;
   readonly message: string;
-  /** The problem that the replica answered, if any. */
+  /** Problem document in the replica's answer, if any. */
   readonly problem: unknown;
 }
 
-/** A client for one deployment. */
+/** Client for the control replicas of one deployment. */
 export class OperatorClient {
   constructor(
     private readonly addresses: readonly string[],
     private readonly token: string,
   ) {}
 
-  /** Makes a client from `--control` and `--token-file`. */
+  /** Creates a client from `--control` and `--token-file`. */
   static fromOptions(options: Options): Result<OperatorClient, string> {
     const control = textOption(options, 'control');
     const tokenFile = textOption(options, 'token-file');
-    if (control === null || tokenFile === null) return Err('--control and --token-file are needed');
+    if (control === null || tokenFile === null) return Err('--control and --token-file are required');
     const token = readToken(tokenFile);
     if (token.err) return Err(`--token-file: ${token.val}`);
     return Ok(new OperatorClient(control.split(','), token.val));
   }
 
-  /** Calls the leader; tries all replicas for a few seconds while none leads. */
+  /** Calls the leader; while there is none, retries all replicas for a few seconds. */
   async call(
     method: 'GET' | 'PUT' | 'DELETE',
     path: string,
     body?: unknown,
   ): Promise<Result<unknown, OperatorError>> {
-    let last = 'no replica was asked';
-    for (let round = 0; round < ROUNDS; round += 1) {
+    let lastProblem = 'no replica was contacted';
+    for (let round = 0; round < MAX_ROUNDS; round += 1) {
       for (const address of this.addresses) {
         const answer = await this.callOne(address, method, path, body);
         if (answer.ok && answer.val.status === STATUS_OK) return Ok(answer.val.body);
-        if (answer.ok && answer.val.status !== STATUS_NOT_LEADER) return Err(refusedBy(answer.val.body));
-        last = answer.err ? `${address}: ${answer.val}` : `${address} does not lead`;
+        if (answer.ok && answer.val.status !== STATUS_NOT_LEADER) return Err(refusalError(answer.val.body));
+        lastProblem = answer.err ? `${address}: ${answer.val}` : `${address} is not the leader`;
       }
-      await new Promise((resolve) => setTimeout(resolve, RETRY_PAUSE_MS));
+      await new Promise((resolve) => setTimeout(resolve, RETRY_DELAY_MS));
     }
-    return Err({ exitCode: EXIT_CODE.unreachable, message: last, problem: null });
+    return Err({ exitCode: EXIT_CODE.unreachable, message: lastProblem, problem: null });
   }
 
-  /** Calls every replica; the answers of those that could be reached, by address. */
+  /** Calls every replica; returns the successful answers with their addresses. */
   async callEach(path: string): Promise<readonly (readonly [string, unknown])[]> {
     const answers = await Promise.all(
       this.addresses.map(
@@ -92,7 +92,7 @@
   }
 }
 
-function refusedBy(problem: unknown): OperatorError {
+function refusalError(problem: unknown): OperatorError {
   const detail = (problem as { detail?: unknown } | null)?.detail;
   const message = typeof detail === 'string' ? detail : JSON.stringify(problem);
   return { exitCode: EXIT_CODE.refused, message, problem };
--- a/src/cli/plan-command.ts
+++ b/src/cli/plan-command.ts
@@ -1,4 +1,4 @@
-/** `aldertide plan`: what a configuration would do before it is submitted. */
+/** `aldertide plan`: previews the effects of a configuration before it is submitted. */
 import { readFileSync } from 'node:fs';
 import { z } from 'zod';
 import { configurationSchema, type ConfigurationDocument } from '../config/configuration.js';
@@ -33,12 +33,12 @@
   readonly message: string;
 }
 
-/** Prints the plan; exit 1 when the change would be refused. */
+/** Prints the plan; the exit code is 1 if the change would be refused. */
 export async function planCommand(file: string, options: Options): Promise<number> {
   const document = readYamlFile(file, configurationSchema);
   if (document.err) return usageError(document.val.map((problem) => formatProblem(problem)).join('\n'));
   const state = await readState(options);
-  if (state.err) return failed(state.val);
+  if (state.err) return reportError(state.val);
   const refused = findForbiddenChange(state.val.configuration.document, document.val);
   const services = previewPlacement(state.val, document.val);
   if (options['json'] === true) printJson({ revision: state.val.configuration.revision, refused, services });
@@ -48,14 +48,15 @@
 
 async function readState(options: Options): Promise<Result<PreviewState, PlanError>> {
   const snapshot = textOption(options, 'snapshot');
-  const given = snapshot === null ? await readLive(options) : readSnapshotFile(snapshot);
-  if (given.err) return given;
-  const parsed = snapshotSchema.safeParse(given.val);
-  if (parsed.success) return Ok({ ...parsed.data, configuration: parsed.data.configuration as Configured });
+  const snapshotData = snapshot === null ? await readLive(options) : readSnapshotFile(snapshot);
+  if (snapshotData.err) return snapshotData;
+  const parsed = snapshotSchema.safeParse(snapshotData.val);
+  if (parsed.success)
+    return Ok({ ...parsed.data, configuration: parsed.data.configuration as ConfigurationInForce });
   return Err({ exitCode: EXIT_CODE.usage, message: `the snapshot: ${z.prettifyError(parsed.error)}` });
 }
 
-interface Configured {
+interface ConfigurationInForce {
   readonly revision: number;
   readonly document: ConfigurationDocument;
 }
@@ -75,7 +76,7 @@
   }
 }
 
-function failed({ exitCode, message }: PlanError): number {
+function reportError({ exitCode, message }: PlanError): number {
   process.stderr.write(`${message}\n`);
   return exitCode;
 }
--- a/src/cli/status-table.ts
+++ b/src/cli/status-table.ts
@@ -1,11 +1,11 @@
-/** Status as text for people. */
+/** Formats status as human-readable tables. */
 import type { ControlStatus } from '../control/control-status.js';
 import type { CrashReport } from '../quarantine/crash-report.js';
 
-/** Writes the requests under which back ends end as a table. */
+/** Formats the requests that crash back ends as a table. */
 export function formatCrashes(reports: readonly CrashReport[]): string {
-  if (reports.length === 0) return 'no request is held to end back ends';
-  return table(
+  if (reports.length === 0) return 'no request is known to crash back ends';
+  return formatTable(
     ['REQUEST', 'SERVICE', 'STAGE', 'ENDS', 'RUNS LEFT', 'ENDED', 'RAN WELL'],
     reports.map(({ fingerprint, service, stage, ends, runsLeft, endedVersions, goodVersions }) => {
       return [fingerprint, service, stage, ends, runsLeft, endedVersions.join(' '), goodVersions.join(' ')];
@@ -13,12 +13,12 @@
   );
 }
 
-/** Writes the status of all replicas that answered as tables. */
+/** Formats the status of all replicas that answered as tables. */
 export function formatStatus(statuses: readonly ControlStatus[]): string {
   const newest = statuses.reduce((best, status) => (status.appliedIndex > best.appliedIndex ? status : best));
   const watchers = statuses.flatMap((status) => status.watchers);
   return [
-    table(
+    formatTable(
       ['REPLICA', 'ROLE', 'TERM', 'APPLIED', 'REVISION'],
       statuses.map(({ replica, role, term, appliedIndex, revision }) => [
         replica,
@@ -28,13 +28,13 @@
         revision,
       ]),
     ),
-    table(
+    formatTable(
       ['SERVICE', 'SHARDS', 'UNOWNED', 'MOVING', 'IMBALANCE'],
       newest.services.map(({ service, shards, unowned, moving, imbalance }) => {
         return [service, shards, unowned, moving, imbalance.toFixed(2)];
       }),
     ),
-    table(
+    formatTable(
       ['BACK END', 'SERVICE', 'SESSION', 'SHARDS', 'STATE'],
       newest.backends.map(({ backend, service, session, shards, draining }) => {
         return [
@@ -46,20 +46,20 @@
         ];
       }),
     ),
-    ...evacuations(newest.evacuatedZones),
-    table(
+    ...evacuationTables(newest.evacuatedZones),
+    formatTable(
       ['DAEMON', 'ROLE', 'ZONE', 'INDEX', 'REVISION'],
       watchers.map(({ name, role, zone, index, revision }) => [name, role, zone, index, revision]),
     ),
   ].join('\n\n');
 }
 
-/** Replicas of versions that cannot evacuate zones tell none. */
-function evacuations(zones: readonly string[] = []): string[] {
+/** Table of evacuated zones; replicas of versions without zone evacuation report none. */
+function evacuationTables(zones: readonly string[] = []): string[] {
   return zones.length === 0
     ? []
     : [
-        table(
+        formatTable(
           ['EVACUATED ZONE'],
           zones.map((zone) => [zone]),
         ),
@@ -70,7 +70,7 @@
 
 const COLUMN_GAP = 2;
 
-function table(head: readonly string[], rows: readonly (readonly Cell[])[]): string {
+function formatTable(head: readonly string[], rows: readonly (readonly Cell[])[]): string {
   const all = [head, ...rows].map((row) => row.map(String));
   const widths = head.map((_, column) => Math.max(...all.map((row) => row[column]?.length ?? 0)));
   return all.map((row) => formatRow(row, widths)).join('\n');
--- a/src/config/configuration.ts
+++ b/src/config/configuration.ts
@@ -51,13 +51,13 @@
 
 const policySchema = z
   .strictObject({
-    /** CEL over `backend` and `shard`, gives bool: whether the back end may hold the shard. */
+    /** CEL expression over `backend` and `shard` of type bool: whether the back end may hold the shard. */
     eligible: expressionSchema.optional(),
-    /** CEL over `backend` and `shard`, gives double: the highest wins among those with room. */
+    /** CEL expression over `backend` and `shard` of type double: the highest of those with free capacity is chosen. */
     rank: expressionSchema.optional(),
-    /** CEL over `shard`, gives bool: whether the shard may be moved for balance. */
+    /** CEL expression over `shard` of type bool: whether the shard may be moved to balance the load. */
     movable: expressionSchema.optional(),
-    /** Cases that `aldertide check` runs. */
+    /** Test cases of the policy, evaluated by `aldertide check`. */
     expect: z.array(policyExampleSchema).max(100).default([]),
   })
   .superRefine((policy, context) => {
@@ -65,30 +65,30 @@
   });
 
 const placementSchema = z.strictObject({
-  /** Largest load over mean load that is left as it is. */
+  /** Ratio of the largest load to the mean load up to which no shard is moved. */
   toleratedImbalance: z.number().min(1).max(10).default(1.1),
-  /** Planned moves of shards a minute, repairs and drains not counted. */
+  /** Maximum planned shard moves per minute; repairs and drains are not counted. */
   maxMovesPerMinute: z.number().int().min(0).max(100_000).default(60),
-  /** Which back ends may hold a shard, and how they rank. */
+  /** Rules for which back ends may hold a shard, and their order of preference. */
   policy: policySchema.optional(),
 });
 
 const serviceFields = z.strictObject({
   /** `keyed`: each key has one owner. `spread`: any back end may serve any request. */
   division: z.enum(['keyed', 'spread']),
-  /** Where the key of a request is found; needed for `keyed`. */
+  /** Location of the key in a request; required for `keyed`. */
   key: keySourceSchema.optional(),
-  /** Parts that the keys are divided into; cannot be changed later. */
+  /** Number of shards that the keys are divided into; cannot be changed later. */
   shards: z.number().int().min(1).max(131_072),
-  /** Requests that one back end works on at a time. */
+  /** Requests that one back end processes concurrently. */
   slots: z.number().int().min(1).max(10_000),
-  /** Connections that one back end accepts, over all routers. */
+  /** Connections that one back end accepts from all routers together. */
   connections: z.number().int().min(1).max(100_000),
-  /** Longest time for one request, in ms, where the caller sets none. */
+  /** Deadline of a request in ms, if the caller sets none. */
   deadlineMs: z.number().int().min(1).max(600_000).default(2_000),
-  /** Time in ms within which callers may repeat a request under the same Idempotency-Key. */
+  /** Period in ms within which callers may retry a request under the same Idempotency-Key. */
   repeatHorizonMs: z.number().int().min(0).max(86_400_000).default(30_000),
-  /** Exceptions to the rule that GET, HEAD, PUT and DELETE may be repeated and others may not. */
+  /** Exceptions to the rule that GET, HEAD, PUT and DELETE may be retried and other methods may not. */
   endpoints: z.array(endpointRuleSchema).max(200).default([]),
   placement: placementSchema.default({ toleratedImbalance: 1.1, maxMovesPerMinute: 60 }),
   backends: z.record(nameSchema, backendSchema),
@@ -110,15 +110,15 @@
       context.addIssue({ code: 'custom', ...problem });
   });
 
-/** Where the key of a request is found. */
+/** Location of the key in a request. */
 export type KeySource = z.infer<typeof keySourceSchema>;
-/** Whether requests to a path may be repeated. */
+/** Whether requests to a path may be retried. */
 export type EndpointRule = z.infer<typeof endpointRuleSchema>;
 /** A server that owns shards. */
 export type BackendConfiguration = z.infer<typeof backendSchema>;
-/** One service. */
+/** Configuration of one service. */
 export type ServiceConfiguration = z.infer<typeof serviceFields>;
-/** The whole document. */
+/** The complete configuration document. */
 export interface ConfigurationDocument {
   readonly version: 1;
   readonly services: Readonly<Record<string, ServiceConfiguration>>;
@@ -129,7 +129,7 @@
   readonly message: string;
 }
 
-/** A back end's name and address stand for one process, so each may appear once in the document. */
+/** Reports names and addresses used twice: each identifies one back-end process, so it must be unique in the document. */
 function duplicateBackends(services: Record<string, ServiceConfiguration>): DocumentProblem[] {
   const problems: DocumentProblem[] = [];
   const seen = new Map<string, string>();
--- a/src/config/daemon-settings.ts
+++ b/src/config/daemon-settings.ts
@@ -1,4 +1,4 @@
-/** Settings of each daemon, read from a YAML file. Every field has its unit and default here. */
+/** Settings of each daemon, read from a YAML file; the schemas state the unit and default of every field. */
 import { readFileSync } from 'node:fs';
 import { z } from 'zod';
 import { socketAddressSchema } from '../model/socket-address-schema.js';
@@ -12,21 +12,21 @@
 const commonFields = {
   /** Unique among the daemons of a deployment. */
   name: nameSchema,
-  /** Place of this daemon. */
+  /** Zone in which this daemon runs. */
   zone: nameSchema,
-  /** File that holds the cluster's shared token; only its owner should be able to read it. */
+  /** File with the cluster's shared token; should be readable by its owner only. */
   tokenFile: z.string().min(1),
   logLevel: z.enum(['error', 'warn', 'info', 'debug']).default('info'),
 };
 
 const timingSchema = z.strictObject({
-  /** Pause between heartbeats of the leader, in ms. */
+  /** Interval between heartbeats of the leader, in ms. */
   heartbeatMs: z.number().int().min(10).max(10_000).default(100),
-  /** Time without a leader before an election, in ms; at least three heartbeats. */
+  /** Time without a leader before an election, in ms; at least three heartbeat intervals. */
   electionTimeoutMs: z.number().int().min(50).max(60_000).default(400),
-  /** Time in ms for which a session renewal is good. */
+  /** Time in ms for which a session renewal is valid. */
   sessionTermMs: z.number().int().min(200).max(120_000).default(1_500),
-  /** Pause between placement plans, in ms. */
+  /** Interval between placement plans, in ms. */
   planIntervalMs: z.number().int().min(20).max(60_000).default(100),
 });
 
@@ -34,16 +34,16 @@
 export const controlSettingsSchema = z
   .strictObject({
     ...commonFields,
-    /** The only folder that is written to. */
+    /** The only folder that the daemon writes to. */
     dataFolder: z.string().min(1),
-    /** Where replicas, agents and routers connect. */
+    /** Address for connections of replicas, agents and routers. */
     listen: socketAddressSchema,
-    /** Where operators connect, over HTTP. */
+    /** Address of the operator interface (HTTP). */
     operator: socketAddressSchema,
-    /** All first members, this one included. */
+    /** All initial members, including this one. */
     members: z.array(namedAddressSchema).min(1).max(9),
     timing: timingSchema.prefault({}),
-    /** Applied entries after which a snapshot replaces the log. */
+    /** Number of applied entries after which a snapshot replaces the log. */
     snapshotEveryEntries: z.number().int().min(10).max(1_000_000).default(4_096),
   })
   .refine((settings) => settings.members.some((member) => member.name === settings.name), {
@@ -58,39 +58,39 @@
 /** Settings of `aldertide agent`. */
 export const agentSettingsSchema = z.strictObject({
   ...commonFields,
-  /** Where agents of other back ends hand over shards to this one. */
+  /** Address at which agents of other back ends hand over shards to this one. */
   listen: socketAddressSchema,
-  /** Health and metrics, over HTTP. */
+  /** Address of health and metrics (HTTP). */
   management: socketAddressSchema,
   control: z.array(namedAddressSchema).min(1).max(9),
   service: nameSchema,
   /** Name of the back end in the configuration. */
   backend: nameSchema,
-  /** Where the back end is; it must run on the same machine, because grants use the machine's clock. */
+  /** Address of the back end; it must run on the same machine, because grants use the machine's clock. */
   backendAddress: socketAddressSchema,
-  /** Pause between lease renewals, in ms. */
+  /** Interval between lease renewals, in ms. */
   renewIntervalMs: z.number().int().min(20).max(60_000).default(400),
-  /** Shortest time between two reports of load, in ms. */
+  /** Minimum interval between load reports, in ms. */
   loadReportIntervalMs: z.number().int().min(100).max(600_000).default(2_000),
 });
 
 /** Settings of `aldertide router`. */
 export const routerSettingsSchema = z.strictObject({
   ...commonFields,
-  /** Where callers connect, over HTTP; also serves health and metrics under `/-/`. */
+  /** Address for callers (HTTP); also serves health and metrics under `/-/`. */
   listen: socketAddressSchema,
   control: z.array(namedAddressSchema).min(1).max(9),
-  /** Routers of this deployment, for sharing the connections and slots of a back end. */
+  /** Number of routers in the deployment, between which the connections and slots of a back end are divided. */
   routers: z.number().int().min(1).max(10_000).default(1),
-  /** Addresses to use for back ends instead of the configured ones. */
+  /** Addresses of back ends that override the configured ones, by name. */
   backendAddresses: z.record(nameSchema, socketAddressSchema).default({}),
-  /** Longest time in ms that a request waits for an owner while a move or repair is under way. */
+  /** Maximum time in ms that a request waits for an owner while a move or repair is in progress. */
   ownerWaitMs: z.number().int().min(0).max(60_000).default(300),
-  /** Requests that may wait for a slot of one back end. */
+  /** Maximum number of requests queued for a slot of one back end. */
   maxQueuedPerBackend: z.number().int().min(0).max(100_000).default(256),
-  /** Time in ms to finish requests after a stop was asked for. */
+  /** Time in ms to finish requests in flight after a stop signal. */
   drainMs: z.number().int().min(0).max(600_000).default(30_000),
-  /** Longest request header block accepted, in bytes. */
+  /** Maximum size of a request's header block, in bytes. */
   maxHeaderBytes: z.number().int().min(1_024).max(1_048_576).default(16_384),
 });
 
@@ -100,10 +100,10 @@
 export type AgentSettings = z.infer<typeof agentSettingsSchema>;
 /** Settings of `aldertide router`. */
 export type RouterSettings = z.infer<typeof routerSettingsSchema>;
-/** A control replica and how this daemon reaches it. */
+/** Name of a control replica, and the address at which this daemon reaches it. */
 export type NamedAddress = z.infer<typeof namedAddressSchema>;
 
-/** Reads a settings file and the token that it points to. */
+/** Reads a settings file and the token file that it names. */
 export function readSettings<T extends { readonly tokenFile: string }>(
   file: string,
   schema: z.ZodType<T>,
@@ -115,14 +115,14 @@
   return Ok({ settings: settings.val, token: token.val });
 }
 
-const SHORTEST_TOKEN = 16;
+const MIN_TOKEN_LENGTH = 16;
 
-/** Reads the shared token; the error never contains it. */
+/** Reads the shared token; the error never includes the token. */
 export function readToken(file: string): Result<string, string> {
   try {
     const token = readFileSync(file, 'utf8').trim();
-    if (token.length >= SHORTEST_TOKEN) return Ok(token);
-    return Err(`the token in ${file} is shorter than ${SHORTEST_TOKEN} characters`);
+    if (token.length >= MIN_TOKEN_LENGTH) return Ok(token);
+    return Err(`the token in ${file} is shorter than ${MIN_TOKEN_LENGTH} characters`);
   } catch (error) {
     return Err(error instanceof Error ? error.message : String(error));
   }
--- a/src/config/yaml-file.ts
+++ b/src/config/yaml-file.ts
@@ -1,23 +1,23 @@
-/** Reads a YAML file against a schema; every problem is reported with its line, all at once. */
+/** Reads a YAML file and validates it against a schema; all problems are reported together, each with its line. */
 import { readFileSync } from 'node:fs';
 import { isNode, LineCounter, parseDocument, type Document } from 'yaml';
 import type { z } from 'zod';
 import { Err, Ok, type Result } from '../result.js';
 
-/** One problem of a file. */
+/** One problem found in a file. */
 export interface FileProblem {
   readonly file: string;
   /** Counted from 1. */
   readonly line: number;
-  /** Path of the field, such as `services.stock.slots`; empty for the whole file. */
+  /** Path of the field, such as `services.stock.slots`; empty if the problem concerns the whole file. */
   readonly path: string;
-  /** What was found and what is allowed. */
+  /** The value found and the values allowed. */
   readonly message: string;
 }
 
 type Path = readonly PropertyKey[];
 
-/** Reads and checks `file`. */
+/** Reads and validates `file`. */
 export function readYamlFile<T>(file: string, schema: z.ZodType<T>): Result<T, FileProblem[]> {
   let text: string;
   try {
@@ -29,7 +29,7 @@
   return parseYaml(file, text, schema);
 }
 
-/** Checks `text` as the content of `file`. */
+/** Validates `text` as the content of `file`. */
 export function parseYaml<T>(file: string, text: string, schema: z.ZodType<T>): Result<T, FileProblem[]> {
   const lines = new LineCounter();
   const document = parseDocument(text, { lineCounter: lines, prettyErrors: false });
@@ -51,7 +51,7 @@
   );
 }
 
-/** Writes a problem as one line for people. */
+/** Formats a problem as one human-readable line. */
 export function formatProblem(problem: FileProblem): string {
   const field = problem.path === '' ? '' : `${problem.path}: `;
   return `${problem.file}:${problem.line}: ${field}${problem.message}`;
@@ -62,7 +62,7 @@
   readonly message: string;
 }
 
-/** Unknown fields come as one issue on their parent; each gets its own line. */
+/** Splits an issue into located messages; unknown fields arrive as one issue on their parent and get one message each. */
 function flattenIssue(issue: z.core.$ZodIssue): LocatedMessage[] {
   if (issue.code === 'unrecognized_keys') {
     return issue.keys.map((key) => ({ path: [...issue.path, key], message: 'unknown field' }));
--- a/src/model/backend-life.ts
+++ b/src/model/backend-life.ts
@@ -1,25 +1,25 @@
 /**
- * Names of the lives of back ends. A back end may start again under the id that it had, and nothing that was learned of
- * the life before holds for the new one; so everything is kept under a name that no two lives share.
+ * Unique names of back-end incarnations. A back end may restart under its previous id, and nothing recorded about the
+ * previous incarnation applies to the new one; so all state is keyed by a name that no two incarnations share.
  */
 
-/** One life of a back end. */
+/** One incarnation (process lifetime) of a back end. */
 export interface BackendLife {
-  /** Id that the back end goes by; another life may go by the same. */
+  /** Id of the back end; other incarnations may have the same one. */
   readonly id: string;
-  /** When this life started, in ms of its machine's wall clock; null where it does not tell. */
+  /** Start time of this incarnation, in ms of its machine's wall clock; null if it does not report one. */
   readonly bornMs: number | null;
 }
 
 const SEPARATOR = '@';
 
-/** Name of a life: its id, and when it started where that is told. */
+/** Returns the name of an incarnation: its id, followed by its start time if that is known. */
 export function lifeName({ id, bornMs }: BackendLife): string {
   if (bornMs !== null) return `${id}${SEPARATOR}${bornMs}`;
   return id.includes(SEPARATOR) ? `${id}${SEPARATOR}` : id;
 }
 
-/** Id that the back end of a named life goes by, as it expects it in requests. */
+/** Returns the back-end id in an incarnation's name; the back end expects this id in requests. */
 export function idOfLife(name: string): string {
   const end = name.lastIndexOf(SEPARATOR);
   return end < 0 ? name : name.slice(0, end);
--- a/src/model/packed-rows.ts
+++ b/src/model/packed-rows.ts
@@ -1,20 +1,20 @@
 /**
- * Rows of shards packed for snapshots on disk and for messages: eight 32-bit cells a row in one typed array,
- * which `devalue` writes as base64. A row costs 43 bytes on the wire and next to no time, where an object
- * with named fields costs some hundred bytes and a parse of each field.
+ * Shard rows packed for snapshots on disk and for messages: eight 32-bit cells per row in one typed array, which
+ * `devalue` encodes as base64. A row takes 43 bytes on the wire and almost no time to decode; an object with named
+ * fields would take about a hundred bytes, and each field would have to be parsed.
  */
 import type { ShardRow } from './shard.js';
 
-/** Cells of one row. */
+/** Number of cells per row. */
 export const CELLS_PER_ROW = 8;
 
-/** Stands for no back end in a cell that holds a position in `names`. */
+/** Value for "no back end" in a cell that holds a position in `names`. */
 export const NO_NAME = 0xffffffff;
 
-/** Weight of the high half of a number that takes two cells. */
+/** Factor of the high half of a number that is split over two cells. */
 export const HIGH_FACTOR = 2 ** 32;
 
-/** Place of each value among the cells of a row. */
+/** Index of each value within the cells of a row. */
 export const CELL = {
   shard: 0,
   epoch: 1,
@@ -26,19 +26,19 @@
   freshAfterLow: 7,
 } as const;
 
-/** Rows of one service. Owner and moving to are positions in `names`. */
+/** Packed rows of one service; `owner` and `movingTo` are positions in `names`. */
 export interface PackedRows {
   readonly service: string;
   readonly cells: Uint32Array;
   readonly names: readonly string[];
 }
 
-/** Gives names small numbers. */
+/** Maps names to consecutive positions, starting from 0. */
 export class NamePositions {
   readonly names: string[] = [];
   private readonly positions = new Map<string, number>();
 
-  /** Position of a name, which is added when it is new. */
+  /** Returns the position of a name; an unknown name is added. */
   of(name: string): number {
     const known = this.positions.get(name);
     if (known !== undefined) return known;
@@ -48,7 +48,7 @@
   }
 }
 
-/** Packs rows. */
+/** Packs the rows of one service. */
 export function packRows(service: string, rows: readonly ShardRow[]): PackedRows {
   const names = new NamePositions();
   const cells = new Uint32Array(rows.length * CELLS_PER_ROW);
@@ -63,7 +63,7 @@
   return { service, cells, names: names.names };
 }
 
-/** Unpacks rows. */
+/** Unpacks the rows of one service. */
 export function unpackRows({ cells, names }: PackedRows): ShardRow[] {
   const nameAt = (position: number): string | null => names[position] ?? null;
   return Array.from({ length: cells.length / CELLS_PER_ROW }, (_, at) => {
--- a/src/model/scoped-rows.ts
+++ b/src/model/scoped-rows.ts
@@ -1,14 +1,14 @@
-/** Rows that concern one back end; others are forgotten, so that the cost does not grow with what it once held. */
+/** Rows that concern one back end; others are discarded, so that the cost does not grow with shards held earlier. */
 import { unpackRows, type PackedRows } from './packed-rows.js';
 import type { ShardRow } from './shard.js';
 
-/** Rows of one service as the agent of one back end needs them. */
+/** Rows of one service that the agent of one back end needs: shards that it owns or is about to receive. */
 export class ScopedRows {
   private readonly present = new Map<number, ShardRow>();
 
   constructor(private readonly backend: string) {}
 
-  /** Takes rows; those that do not concern the back end any more are forgotten. */
+  /** Updates rows; those that no longer concern the back end are discarded. */
   setPacked(packed: PackedRows): void {
     for (const row of unpackRows(packed)) {
       if (row.owner === this.backend || row.movingTo === this.backend) this.present.set(row.shard, row);
@@ -16,12 +16,12 @@
     }
   }
 
-  /** Row of a shard that concerns the back end. */
+  /** Returns the row of a shard; undefined if it does not concern the back end. */
   get(shard: number): ShardRow | undefined {
     return this.present.get(shard);
   }
 
-  /** All rows that concern the back end. */
+  /** Returns all rows that concern the back end. */
   rows(): IterableIterator<ShardRow> {
     return this.present.values();
   }
--- a/src/model/shard-table.ts
+++ b/src/model/shard-table.ts
@@ -1,13 +1,13 @@
-/** Rows of one service in typed arrays: a row takes 33 bytes, so that a whole table fits in a few megabytes. */
+/** Shard rows of one service in typed arrays: a row takes 33 bytes, so that a whole table fits in a few megabytes. */
 import type { ShardRow } from './shard.js';
 import { CELL, CELLS_PER_ROW, HIGH_FACTOR, NamePositions, type PackedRows } from './packed-rows.js';
 
-const FIRST_CAPACITY = 64;
+const INITIAL_CAPACITY = 64;
 
-/** Names take positions from 1 on; 0 stands for none. */
+/** Value for "no name"; names have positions from 1 on. */
 const NO_NAME = 0;
 
-/** A table of rows by shard number. */
+/** Table of shard rows, indexed by shard number. */
 export class ShardTable {
   private readonly names = new NamePositions();
   private readonly shards: number[] = [];
@@ -19,12 +19,12 @@
   private moveIds = new Uint32Array(0);
   private freshAfterMs = new Float64Array(0);
 
-  /** Number of rows that were set. */
+  /** Number of rows in the table. */
   get size(): number {
     return this.shards.length;
   }
 
-  /** Sets rows, cell by cell: a table of 120,000 rows would otherwise make as many objects. */
+  /** Sets rows cell by cell, which avoids one object per row: a table may have 120,000 rows. */
   setPacked({ cells, names }: PackedRows): void {
     const positions = Uint32Array.from(names, (name) => this.names.of(name) + 1);
     for (let at = 0; at < cells.length; at += CELLS_PER_ROW) {
@@ -39,7 +39,7 @@
     }
   }
 
-  /** Row of a shard, or undefined when it was never set. */
+  /** Returns the row of a shard, or undefined if it was never set. */
   get(shard: number): ShardRow | undefined {
     if (this.known[shard] !== 1) return undefined;
     return {
@@ -53,7 +53,7 @@
     };
   }
 
-  /** All rows, in the order in which they were first set. */
+  /** Iterates over all rows in the order in which they were first set. */
   *rows(): IterableIterator<ShardRow> {
     for (const shard of this.shards) {
       const row = this.get(shard);
@@ -76,22 +76,22 @@
 
   private ensureCapacity(needed: number): void {
     if (needed <= this.known.length) return;
-    const capacity = Math.max(FIRST_CAPACITY, needed, Math.ceil(this.known.length * 1.5));
-    this.known = grown(new Uint8Array(capacity), this.known);
-    this.epochs = grown(new Uint32Array(capacity), this.epochs);
-    this.owners = grown(new Uint32Array(capacity), this.owners);
-    this.sessions = grown(new Uint32Array(capacity), this.sessions);
-    this.movingTo = grown(new Uint32Array(capacity), this.movingTo);
-    this.moveIds = grown(new Uint32Array(capacity), this.moveIds);
-    this.freshAfterMs = grown(new Float64Array(capacity), this.freshAfterMs);
+    const capacity = Math.max(INITIAL_CAPACITY, needed, Math.ceil(this.known.length * 1.5));
+    this.known = copyInto(new Uint8Array(capacity), this.known);
+    this.epochs = copyInto(new Uint32Array(capacity), this.epochs);
+    this.owners = copyInto(new Uint32Array(capacity), this.owners);
+    this.sessions = copyInto(new Uint32Array(capacity), this.sessions);
+    this.movingTo = copyInto(new Uint32Array(capacity), this.movingTo);
+    this.moveIds = copyInto(new Uint32Array(capacity), this.moveIds);
+    this.freshAfterMs = copyInto(new Float64Array(capacity), this.freshAfterMs);
   }
 }
 
-interface Settable {
+interface NumberArray {
   set(values: ArrayLike<number>): void;
 }
 
-function grown<T extends Settable>(larger: T, values: ArrayLike<number>): T {
+function copyInto<T extends NumberArray>(larger: T, values: ArrayLike<number>): T {
   larger.set(values);
   return larger;
 }
--- a/src/model/socket-address.ts
+++ b/src/model/socket-address.ts
@@ -1,4 +1,4 @@
-/** An IP address and port; names are never resolved. */
+/** Socket addresses of IP and port; host names are never resolved. */
 
 /** An IP address and port. */
 export interface SocketAddress {
@@ -6,12 +6,12 @@
   readonly port: number;
 }
 
-/** Writes an address as `host:port`. */
+/** Formats an address as `host:port`. */
 export function formatAddress(address: SocketAddress): string {
   return `${address.host}:${address.port}`;
 }
 
-/** Options for dialing an address, from one local IP address where that matters. */
+/** Returns the options to dial an address; with `localAddress`, the connection is bound to that local IP address. */
 export function connectOptions(
   { host, port }: SocketAddress,
   localAddress: string | null,
--- a/src/model/text-hash.ts
+++ b/src/model/text-hash.ts
@@ -1,13 +1,13 @@
-/** A small hash of a name, for spreading daemons; not for keys. */
+/** A simple hash of names, for distributing daemons; not suitable for keys. */
 
-/** A number from 0 to below 2 ** 32 that differs between most names. */
+/** Returns a hash from 0 to 2 ** 32 - 1; most names have different ones. */
 export function textHash(text: string): number {
   let sum = 0;
   for (const character of text) sum = (Math.imul(sum, 31) + character.charCodeAt(0)) >>> 0;
   return sum;
 }
 
-/** A place from 0 to below `places` that differs between names, so that they share the places evenly. */
+/** Assigns a name to one of `places` buckets, counted from 0; names are distributed evenly over them. */
 export function spread(name: string, places: number): number {
   return textHash(name) % places;
 }
--- a/src/model/value-text.ts
+++ b/src/model/value-text.ts
@@ -1,29 +1,29 @@
 /**
- * Messages and records as text. Plain data is written as JSON, which takes a twentieth of the time that `devalue` takes
- * (https://github.com/sveltejs/devalue); what JSON cannot hold, such as typed arrays, is written by `devalue`. A text tells
- * by its first character which of the two wrote it.
+ * Serializes messages and records as text. Plain data is written as JSON, which takes a twentieth of the time of
+ * `devalue` (https://github.com/sveltejs/devalue); `devalue` writes values that JSON cannot represent, such as typed
+ * arrays. The first character of a text identifies the format.
  */
 import { parse, stringify } from 'devalue';
 
-/** First character of an object in JSON; the texts of `devalue` are lists or numbers. */
+/** First character of a JSON object; `devalue` writes lists or numbers. */
 const OBJECT_START = '{';
 
-/** Writes a value. */
+/** Serializes a value. */
 export function writeText(value: unknown): string {
   return isObject(value) && isPlain(value) ? JSON.stringify(value) : stringify(value);
 }
 
-/** Whether a text of `writeText` is JSON. */
+/** Whether a text written by `writeText` is JSON. */
 export function isJsonText(text: string): boolean {
   return text.startsWith(OBJECT_START);
 }
 
-/** Reads what `writeText` has written; throws where it is neither. */
+/** Parses a text written by `writeText`; throws if it is in neither format. */
 export function readText(text: string): unknown {
   return isJsonText(text) ? (JSON.parse(text) as unknown) : parse(text);
 }
 
-/** Whether JSON gives the value back as it is; members that are undefined are left out. */
+/** Whether JSON preserves the value; undefined members of objects are omitted. */
 function isPlain(value: unknown): boolean {
   switch (typeof value) {
     case 'string':
--- a/src/runtime/clock-skips.ts
+++ b/src/runtime/clock-skips.ts
@@ -1,20 +1,20 @@
-/** Tells whether the machine may have been suspended a moment ago: then nobody seems to have answered for as long. */
+/** Detects a recent suspension of the machine; after one, every peer appears to have been silent for its duration. */
 import type { Runtime } from './runtime.js';
 
-/** Remembers when a process's clock last ran ahead of its steady one. */
+/** Records when the process clock last skipped ahead of the steady clock. */
 export class ClockSkips {
   private skippedMs = 0;
-  /** On the steady clock. */
-  private skippedAtMs = -Infinity;
+  /** Time of the last skip, on the steady clock. */
+  private lastSkipMs = -Infinity;
 
   constructor(private readonly clocks: Pick<Runtime, 'nowMs' | 'steadyMs'>) {}
 
-  /** Whether time was skipped within the last `ms`, as far as earlier calls could see. */
+  /** Whether time was skipped within the last `ms`; a skip is dated to the first call after it. */
   lately(ms: number): boolean {
     const steadyMs = this.clocks.steadyMs();
     const skippedMs = Math.round(this.clocks.nowMs() - steadyMs);
-    if (skippedMs !== this.skippedMs) this.skippedAtMs = steadyMs;
+    if (skippedMs !== this.skippedMs) this.lastSkipMs = steadyMs;
     this.skippedMs = skippedMs;
-    return steadyMs - this.skippedAtMs < ms;
+    return steadyMs - this.lastSkipMs < ms;
   }
 }
--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -1,7 +1,7 @@
 /**
- * Clocks of the machine. One rule holds for all times that are compared: what this process may still do ends by `clockMs`,
- * which counts all time that may have passed; what others may still do ends by `steadyMs`, which counts only time that
- * certainly has.
+ * Clocks of the machine. One rule applies to all expiry times: permissions of this process expire by `clockMs`, which
+ * counts all time that may have passed; permissions of other processes expire by `steadyMs`, which counts only time that
+ * has certainly passed.
  */
 import { hrtime } from 'node:process';
 import { ProcessIntervals } from './process-intervals.js';
@@ -11,7 +11,7 @@
 const NANOSECONDS_PER_MICROSECOND = 1_000n;
 const MICROSECONDS_PER_MS = 1_000;
 
-/** The host's steady clock (CLOCK_MONOTONIC), in ms; all processes on it read the same. It stands still in suspension. */
+/** The host's steady clock (CLOCK_MONOTONIC), in ms; shared by all processes on the host, stops during suspension. */
 export function steadyMs(): number {
   return Number(hrtime.bigint() / NANOSECONDS_PER_MICROSECOND) / MICROSECONDS_PER_MS;
 }
@@ -20,15 +20,15 @@
   processTimers.clockSkipped();
 });
 
-/** This process's clock, in ms: the steady one, moved on by the time for which the machine may have been suspended. */
+/** This process's clock, in ms: the steady clock plus the time for which the machine may have been suspended. */
 export function clockMs(): number {
   return clock.nowMs();
 }
 
-/** Timers of this process that follow its clock. */
+/** Timers of this process, which follow its clock. */
 export const processTimers = new ProcessTimers(clockMs);
 
-/** Intervals of this process. */
+/** Intervals of this process, which share wake-ups. */
 export const processIntervals = new ProcessIntervals({
   nowMs: clockMs,
   after: (ms, callback) => processTimers.after(ms, callback),
--- a/src/runtime/node-runtime.ts
+++ b/src/runtime/node-runtime.ts
@@ -1,4 +1,4 @@
-/** The runtime of a real process: Node's timers, the machine's clocks, TCP. */
+/** Runtime of a real process: Node's timers, the machine's clocks, TCP. */
 import { randomUUID } from 'node:crypto';
 import { MessageClient } from '../transport/message-client.js';
 import { MessageServer } from '../transport/message-server.js';
@@ -20,7 +20,7 @@
   serve: (token, acceptor) => new MessageServer(token, acceptor),
 };
 
-/** The same runtime, dialing from one local IP address; null leaves that to the system. */
+/** Returns the runtime with outgoing connections bound to a local IP address; null lets the system choose. */
 export function runtimeDialingFrom(localAddress: string | null): Runtime {
   if (localAddress === null) return nodeRuntime;
   return {
--- a/src/runtime/pause.ts
+++ b/src/runtime/pause.ts
@@ -1,14 +1,14 @@
-/** Waits on the clock of a runtime. */
+/** Promises with delays and time limits on the clock of a runtime. */
 import type { Runtime } from './runtime.js';
 
-/** Resolves after a time in ms. */
+/** Resolves after `ms`. */
 export async function pause(runtime: Pick<Runtime, 'after'>, ms: number): Promise<void> {
   await new Promise<void>((resolve) => {
     runtime.after(ms, resolve);
   });
 }
 
-/** What a promise resolves with within a time in ms; null when that takes longer. */
+/** Resolves with the value of a promise, or with null if it takes longer than `ms`. */
 export async function within<T>(
   runtime: Pick<Runtime, 'after'>,
   promise: Promise<T>,
--- a/src/runtime/process-intervals.ts
+++ b/src/runtime/process-intervals.ts
@@ -1,19 +1,19 @@
 /**
- * Intervals of this process. Those of one length come due together, at multiples of it since the process began, and
- * whatever comes due at about the same time shares one wake-up: a daemon holds a hundred connections and more, each with an
- * interval of its own.
+ * Intervals of this process. Intervals of the same length come due together, at multiples of the length since the process
+ * started, and intervals that come due at about the same time share one wake-up: a daemon has a hundred connections or
+ * more, each with its own interval.
  */
 
-/** Time in ms by which an interval may come early, to share a wake-up. */
+/** Time in ms by which a call may be early in order to share a wake-up. */
 const SLACK_MS = 2;
 
-/** Part of an interval that passes at least before its first call. */
-const LEAST_FIRST_SHARE = 0.5;
+/** Minimum time before the first call, as a fraction of the interval. */
+const MIN_FIRST_CALL_RATIO = 0.5;
 
-/** The clock and timer that intervals run by. */
+/** Clock and timer that drive the intervals. */
 export interface IntervalClock {
   nowMs(): number;
-  /** Calls back once after `ms`; returns how that is called off. */
+  /** Calls back once after `ms`; returns a function that cancels it. */
   after(ms: number, callback: () => void): () => void;
 }
 
@@ -29,17 +29,21 @@
   private cancelWakeUp: (() => void) | null = null;
   private wakeUpMs = Infinity;
   private running = false;
-  /** Multiples are counted from here, so that processes do not wake up together. */
+  /** Origin of the multiples; it differs between processes, so that they do not wake up together. */
   private readonly originMs: number;
 
   constructor(private readonly clock: IntervalClock) {
     this.originMs = clock.nowMs();
   }
 
-  /** Calls back about every `ms`; returns how that is ended. */
+  /** Calls back about every `ms`; returns a function that ends the interval. */
   every(ms: number, callback: () => void): () => void {
     const nowMs = this.clock.nowMs();
-    const interval = { everyMs: ms, callback, dueMs: this.nextMultiple(ms, nowMs + ms * LEAST_FIRST_SHARE) };
+    const interval = {
+      everyMs: ms,
+      callback,
+      dueMs: this.nextMultiple(ms, nowMs + ms * MIN_FIRST_CALL_RATIO),
+    };
     this.intervals.add(interval);
     if (!this.running && interval.dueMs < this.wakeUpMs) this.wakeUpAt(interval.dueMs, nowMs);
     return () => {
@@ -75,7 +79,7 @@
     if (dueMs < Infinity) this.wakeUpAt(dueMs, this.clock.nowMs());
   }
 
-  /** The first multiple of a length after a time, in ms. */
+  /** Returns the first multiple of `lengthMs` after `afterMs`. */
   private nextMultiple(lengthMs: number, afterMs: number): number {
     return this.originMs + (Math.floor((afterMs - this.originMs) / lengthMs) + 1) * lengthMs;
   }
--- a/src/runtime/process-timers.ts
+++ b/src/runtime/process-timers.ts
@@ -1,6 +1,6 @@
 /**
- * Timers of this process that follow its clock: one whose time has passed while the machine was suspended fires at once,
- * not after the rest of its time on the steady clock.
+ * Timers of this process that follow its clock: a timer that came due while the machine was suspended fires at once,
+ * not after the remaining time on the steady clock.
  */
 
 interface PendingTimer {
@@ -9,13 +9,13 @@
   handle: NodeJS.Timeout;
 }
 
-/** The timers that fire once. */
+/** Set of one-shot timers. */
 export class ProcessTimers {
   private readonly pending = new Set<PendingTimer>();
 
   constructor(private readonly nowMs: () => number) {}
 
-  /** Calls back once after `ms`; returns how that is called off. */
+  /** Calls back once after `ms`; returns a function that cancels it. */
   after(ms: number, callback: () => void): () => void {
     const timer: PendingTimer = {
       dueMs: this.nowMs() + ms,
@@ -31,7 +31,7 @@
     };
   }
 
-  /** The clock has skipped time: what remains is measured anew. */
+  /** Reschedules all pending timers after the clock has skipped ahead. */
   clockSkipped(): void {
     const nowMs = this.nowMs();
     for (const timer of this.pending) {
--- a/src/runtime/runtime.ts
+++ b/src/runtime/runtime.ts
@@ -1,16 +1,15 @@
 /**
- * Everything that a daemon needs of its machine beside its disk: clocks, timers, chance, connections.
- * The daemons take it as an argument, so that the simulator can run the same code on virtual time and a
- * virtual network.
+ * Interface of a daemon to its machine, except the disk: clocks, timers, random ids, connections. Daemons receive it as
+ * an argument, so that the simulator can run the same code on virtual time and a virtual network.
  */
 import type { SocketAddress } from '../model/socket-address.js';
 import type { Result } from '../result.js';
 import type { Hello, PeerRole } from '../transport/hello.js';
 
-/** Ends a timer; calling it again does nothing. */
+/** Cancels a timer; further calls have no effect. */
 export type CancelTimer = () => void;
 
-/** Who dials. */
+/** Identity of the dialing daemon. */
 export interface ClientIdentity {
   readonly role: PeerRole;
   readonly name: string;
@@ -19,57 +18,57 @@
   readonly token: string;
 }
 
-/** One connection that carries whole messages both ways, in order. */
+/** A connection that carries complete messages in both directions, in order. */
 export interface Connection {
-  /** Queues one message; dropped without a word when the connection is already closed. */
+  /** Queues one message; silently dropped if the connection is already closed. */
   send(message: unknown): void;
-  /** Queues a frame that was encoded once for many receivers. */
+  /** Queues an encoded frame, which may be shared by many receivers. */
   sendEncoded(frame: Buffer): void;
-  /** Closes at once and reports `reason`; later calls do nothing. */
+  /** Closes at once and reports `reason`; further calls have no effect. */
   close(reason: string): void;
 }
 
-/** Bytes over all connections of a client. */
+/** Bytes transferred over all connections of a client. */
 export interface Traffic {
   readonly bytesSent: number;
   readonly bytesReceived: number;
 }
 
-/** What the owner of a client is told. */
+/** Callbacks to the owner of a client. */
 export interface ClientHandlers {
   onOpen(connection: Connection): void;
   onMessage(message: unknown): void;
   onClose(reason: string): void;
 }
 
-/** Keeps a connection to one address, dialing again when it breaks. */
+/** Maintains a connection to one address; reconnects when it breaks. */
 export interface Client {
-  /** Sends when connected; otherwise the message is dropped and `false` returned. */
+  /** Sends if connected; otherwise drops the message and returns `false`. */
   send(message: unknown): boolean;
-  /** The same for a frame that was encoded before. */
+  /** Like `send`, for an encoded frame. */
   sendEncoded(frame: Buffer): boolean;
   traffic(): Traffic;
-  /** Closes for good; the owner is not told. */
+  /** Closes permanently, without a callback to the owner. */
   stop(): void;
 }
 
-/** Receiver of one accepted peer's messages. */
+/** Callbacks for one accepted peer. */
 export interface PeerHandlers {
   onMessage(message: unknown): void;
   onClose(reason: string): void;
 }
 
-/** Owner of the accepted peers. */
+/** Accepts peers on behalf of a listener's owner. */
 export interface PeerAcceptor {
-  /** A peer has proved that it belongs to the cluster; returns where its messages go. */
+  /** Called for each authenticated peer; returns the handlers of its messages. */
   onPeer(hello: Hello, connection: Connection): PeerHandlers;
-  /** A connection ended before it became a peer. `reason` is for counters. */
+  /** Called when a connection ends before authentication. `reason` is for counters. */
   onRefused(reason: string): void;
 }
 
 /** A listener for internal connections. */
 export interface Listener {
-  /** Bytes sent over all connections that were ever accepted. */
+  /** Bytes sent over all connections since the start, including closed ones. */
   readonly bytesSent: number;
   /** Starts listening; the error names the address. */
   listen(address: SocketAddress): Promise<Result<void, string>>;
@@ -77,11 +76,11 @@
   close(): void;
 }
 
-/** The machine as a daemon sees it. */
+/** Clocks, timers, random ids and connections of a daemon. */
 export interface Runtime {
-  /** Time that may have passed, in ms: what this process may do ends by it. It counts suspended time. */
+  /** Time that may have passed, in ms, including suspension; permissions of this process expire by it. */
   nowMs(): number;
-  /** Time that certainly has passed, in ms: what others may do ends by it. It stands still in suspension. */
+  /** Time that has certainly passed, in ms; permissions of other processes expire by it. It stops during suspension. */
   steadyMs(): number;
   /** Wall clock, in ms since 1970. */
   wallMs(): number;
@@ -89,9 +88,9 @@
   after(ms: number, callback: () => void): CancelTimer;
   /** Calls back every `ms`. */
   every(ms: number, callback: () => void): CancelTimer;
-  /** Calls back as soon as everything that waits to be read has been read; a timer would come before that. */
+  /** Calls back after all pending input has been read; a timer would fire before that. */
   afterInput(callback: () => void): void;
-  /** A string that nobody else gets. */
+  /** Returns a unique string. */
   randomId(): string;
   dial(address: SocketAddress, identity: ClientIdentity, handlers: ClientHandlers): Client;
   serve(token: string, acceptor: PeerAcceptor): Listener;
--- a/src/telemetry/daemon-metrics.ts
+++ b/src/telemetry/daemon-metrics.ts
@@ -1,4 +1,4 @@
-/** Prometheus metrics of the daemons on a platform, over HTTP. Loaded only where settings name an address for them. */
+/** Prometheus metrics of the daemons on a platform, served over HTTP; loaded only if the settings name an endpoint. */
 import { createServer, type Server } from 'node:http';
 import { Histogram, Registry } from 'prom-client';
 import type { SocketAddress } from '../model/socket-address.js';
@@ -6,7 +6,7 @@
 import type { Latencies, LatencyStage } from './latencies.js';
 import { exposeFamily, exposeValue, type ReadValue } from './metrics.js';
 
-/** Upper ends of the buckets of latency histograms, in seconds. */
+/** Upper bounds of the buckets of latency histograms, in seconds. */
 const BUCKETS_S = [0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2];
 
 const MS_PER_SECOND = 1_000;
@@ -23,12 +23,12 @@
     registers: [this.registry],
   });
 
-  /** Adds a value that is read when the metrics are asked for. */
+  /** Adds a gauge whose value is read on each scrape. */
   value(name: string, help: string, read: ReadValue): void {
     exposeValue(this.registry, name, help, read);
   }
 
-  /** Adds a family of values with one label. */
+  /** Adds a family of gauges with one label, whose values are read on each scrape. */
   family(name: string, help: string, label: string, read: () => Iterable<readonly [string, number]>): void {
     exposeFamily(this.registry, name, help, label, read);
   }
@@ -38,7 +38,7 @@
     this.latencies.observe({ stage, service }, ms / MS_PER_SECOND);
   }
 
-  /** The metrics as text. */
+  /** Returns the metrics in the Prometheus text format. */
   async text(): Promise<string> {
     return await this.registry.metrics();
   }
--- a/src/telemetry/event-log.ts
+++ b/src/telemetry/event-log.ts
@@ -1,78 +1,78 @@
 /**
- * Structured events on standard output: one JSON object a line. The volume is bounded, and a reader that stops
- * reading never holds the process up: lines that find no room are dropped and counted.
+ * Structured events on standard output, one JSON object per line. The volume is limited, and a reader that stops reading
+ * never blocks the process: lines that exceed a limit are dropped and counted.
  */
 import { TokenBucket } from '../control/token-bucket.js';
 import type { LineWriter } from './line-writer.js';
 
-/** Lines that may be written at once, and lines a second after that, for decisions and changed beliefs. */
-const NOTABLE_BURST = 400;
-const NOTABLE_PER_SECOND = 100;
+/** Burst of lines, and lines per second after it, for decisions and changes of state. */
+const EVENT_BURST = 400;
+const EVENTS_PER_SECOND = 100;
 
-/** The same for requests that failed or came late. */
+/** The same limits for requests that failed or were late. */
 const FAILURE_BURST = 400;
-const FAILURE_PER_SECOND = 100;
+const FAILURES_PER_SECOND = 100;
 
-/** The same for requests that went as planned. */
+/** The same limits for successful requests. */
 const ROUTINE_BURST = 20;
 const ROUTINE_PER_SECOND = 2;
 
-/** Pause between reports of dropped lines, in ms. */
+/** Minimum interval between reports of dropped lines, in ms. */
 const DROP_REPORT_MS = 5_000;
 
 /** Fields of an event. */
 export type EventFields = Readonly<Record<string, unknown>>;
 
-/** What a daemon writes its events to. */
+/** Destination of a daemon's events. */
 export interface EventLog {
-  /** A decision or a changed belief. */
+  /** Logs a decision or a change of state. */
   event(name: string, fields: EventFields): void;
-  /** A request that failed or came late: many at once leave the lines on decisions and beliefs their room. */
+  /** Logs a request that failed or was late; these have their own limit, so that many do not displace other events. */
   failure(name: string, fields: EventFields): void;
-  /** A request that went as planned; only a sample is written. */
+  /** Logs a successful request; only a sample is written. */
   routine(name: string, fields: EventFields): void;
 }
 
-/** Where the time of a line comes from. */
+/** Clocks for the timestamps and the limits of lines. */
 export interface EventClock {
   nowMs(): number;
   wallMs(): number;
 }
 
-/** Events of one daemon as JSON lines. */
+/** Writes the events of one daemon as JSON lines. */
 export class JsonEventLog implements EventLog {
-  /** Lines that were left out because of their number or because nobody read them. */
+  /** Number of lines dropped because of the limits or because the reader fell behind. */
   dropped = 0;
-  private readonly notable: TokenBucket;
-  private readonly failures: TokenBucket;
-  private readonly ordinary: TokenBucket;
-  private droppedReported = 0;
-  private reportDueMs: number;
+  private readonly eventBudget: TokenBucket;
+  private readonly failureBudget: TokenBucket;
+  private readonly routineBudget: TokenBucket;
+  private reportedDropped = 0;
+  private nextReportMs: number;
 
   constructor(
     private readonly daemon: string,
     private readonly clock: EventClock,
     private readonly writer: LineWriter,
   ) {
-    this.notable = new TokenBucket(NOTABLE_BURST, NOTABLE_PER_SECOND, clock.nowMs());
-    this.failures = new TokenBucket(FAILURE_BURST, FAILURE_PER_SECOND, clock.nowMs());
-    this.ordinary = new TokenBucket(ROUTINE_BURST, ROUTINE_PER_SECOND, clock.nowMs());
-    this.reportDueMs = clock.nowMs() + DROP_REPORT_MS;
+    this.eventBudget = new TokenBucket(EVENT_BURST, EVENTS_PER_SECOND, clock.nowMs());
+    this.failureBudget = new TokenBucket(FAILURE_BURST, FAILURES_PER_SECOND, clock.nowMs());
+    this.routineBudget = new TokenBucket(ROUTINE_BURST, ROUTINE_PER_SECOND, clock.nowMs());
+    this.nextReportMs = clock.nowMs() + DROP_REPORT_MS;
   }
 
   /** See `EventLog`. */
   event(name: string, fields: EventFields): void {
-    this.writeWithin(this.notable, name, fields);
+    this.writeWithin(this.eventBudget, name, fields);
   }
 
   /** See `EventLog`. */
   failure(name: string, fields: EventFields): void {
-    this.writeWithin(this.failures, name, fields);
+    this.writeWithin(this.failureBudget, name, fields);
   }
 
   /** See `EventLog`. */
   routine(name: string, fields: EventFields): void {
-    if (this.ordinary.take(1, this.clock.nowMs()) === 1) this.write(name, fields);
+    if (this.routineBudget.take(1, this.clock.nowMs()) === 1) this.write(name, fields);
   }
 
   private writeWithin(budget: TokenBucket, name: string, fields: EventFields): void {
@@ -83,10 +83,10 @@
 
   private reportDropped(): void {
     const nowMs = this.clock.nowMs();
-    if (this.dropped === this.droppedReported || nowMs < this.reportDueMs) return;
-    this.reportDueMs = nowMs + DROP_REPORT_MS;
-    const lines = this.dropped - this.droppedReported;
-    this.droppedReported = this.dropped;
+    if (this.dropped === this.reportedDropped || nowMs < this.nextReportMs) return;
+    this.nextReportMs = nowMs + DROP_REPORT_MS;
+    const lines = this.dropped - this.reportedDropped;
+    this.reportedDropped = this.dropped;
     this.write('lines-dropped', { lines });
   }
 
@@ -97,7 +97,7 @@
   }
 }
 
-/** Writes nothing; for tests and tools. */
+/** Discards all events; for tests and tools. */
 export const SILENT_EVENT_LOG: EventLog = {
   event: () => undefined,
   failure: () => undefined,
--- a/src/telemetry/explain.ts
+++ b/src/telemetry/explain.ts
@@ -1,12 +1,12 @@
 /**
- * Finds the path of one request in the events of any number of daemons, with what they came to believe shortly
- * before, and names the cause of its end.
+ * Reconstructs the path of one request from the logged events of any number of daemons, with the state changes ("beliefs")
+ * of these daemons shortly before it, and determines the cause of its outcome.
  */
 
-/** Time before a request's first event from which changed beliefs are shown, in ms. */
-const BELIEFS_BEFORE_MS = 10_000;
+/** Period before a request's first event for which state changes are included, in ms. */
+const BELIEF_PERIOD_MS = 10_000;
 
-/** Events that change what a daemon believes about others. */
+/** Events that record a change in a daemon's view of other processes. */
 const BELIEF_EVENTS: ReadonlySet<string> = new Set([
   'backend-ended',
   'backend-gone',
@@ -35,8 +35,8 @@
   'stopping',
 ]);
 
-/** What an event that ends a request says about it. */
-const CAUSES: Readonly<Record<string, string>> = {
+/** Description of a request's outcome, by the event that ends it. */
+const OUTCOMES: Readonly<Record<string, string>> = {
   'request-answered': 'it was answered',
   'request-not-run': 'it was refused, and was not run',
   'request-quarantined': 'it was refused for good: back ends had ended under it',
@@ -45,7 +45,7 @@
   'caller-gone': 'its caller left',
 };
 
-/** One line of a log. */
+/** One event read from a log. */
 export interface LoggedEvent {
   readonly time: string;
   readonly daemon: string;
@@ -53,26 +53,26 @@
   readonly [field: string]: unknown;
 }
 
-/** What is known of a request. */
+/** Findings about one request. */
 export interface Explanation {
   readonly requestId: string;
-  /** Its own events, in the order of time. */
+  /** Events of the request, ordered by time. */
   readonly path: readonly LoggedEvent[];
-  /** What daemons on its path came to believe shortly before it and during it. */
+  /** State changes of the daemons on its path, shortly before and during the request. */
   readonly beliefs: readonly LoggedEvent[];
-  /** One sentence; null when no event of the request is in the logs. */
+  /** Cause in one sentence; null if the logs contain no event of the request. */
   readonly cause: string | null;
 }
 
-/** Reads the events of a log; whatever stands before the object on a line is passed over, as is any other line. */
+/** Reads the events of a log. Text before the JSON object on a line is skipped, and so are lines without an event. */
 export function readEvents(text: string): LoggedEvent[] {
   return text.split('\n').flatMap((line) => {
     const start = line.indexOf('{');
     if (start < 0) return [];
     try {
       const value = JSON.parse(line.slice(start)) as Partial<LoggedEvent>;
-      const whole = [value.time, value.daemon, value.event].every((field) => typeof field === 'string');
-      return whole ? [value as LoggedEvent] : [];
+      const isEvent = [value.time, value.daemon, value.event].every((field) => typeof field === 'string');
+      return isEvent ? [value as LoggedEvent] : [];
     } catch {
       return [];
     }
@@ -87,34 +87,34 @@
   const last = path.at(-1);
   if (first === undefined || last === undefined) return { requestId, path, beliefs: [], cause: null };
   const daemons = new Set(path.map(({ daemon }) => daemon));
-  const fromMs = Date.parse(first.time) - BELIEFS_BEFORE_MS;
+  const fromMs = Date.parse(first.time) - BELIEF_PERIOD_MS;
   const untilMs = Date.parse(last.time);
   const beliefs = sorted.filter((event) => {
     const atMs = Date.parse(event.time);
-    const concerns = daemons.has(event.daemon) || event.event === 'ranges-planned';
-    return BELIEF_EVENTS.has(event.event) && concerns && atMs >= fromMs && atMs <= untilMs;
+    const isRelevant = daemons.has(event.daemon) || event.event === 'ranges-planned';
+    return BELIEF_EVENTS.has(event.event) && isRelevant && atMs >= fromMs && atMs <= untilMs;
   });
-  return { requestId, path, beliefs, cause: causeOf(path) };
+  return { requestId, path, beliefs, cause: describeCause(path) };
 }
 
-/** The outcome comes from the daemon that took the request; what happened beside the back end says why. */
-function causeOf(path: readonly LoggedEvent[]): string {
-  const end = path.findLast(({ event }) => CAUSES[event] !== undefined);
-  const beside = path.findLast(({ event }) => event === 'run-ended' || event === 'request-refused');
-  const outcome = end === undefined ? 'its end is not in these logs' : (CAUSES[end.event] ?? '');
+/** Takes the outcome from the daemon that accepted the request, and the reason from the sidecar of the back end. */
+function describeCause(path: readonly LoggedEvent[]): string {
+  const end = path.findLast(({ event }) => OUTCOMES[event] !== undefined);
+  const atBackend = path.findLast(({ event }) => event === 'run-ended' || event === 'request-refused');
+  const outcome = end === undefined ? 'its end is not in these logs' : (OUTCOMES[end.event] ?? '');
   const reason = typeof end?.['reason'] === 'string' ? `: ${end['reason']}` : '';
-  return `${outcome}${reason}${describeBeside(beside)}`;
+  return `${outcome}${reason}${describeAtBackend(atBackend)}`;
 }
 
-function describeBeside(event: LoggedEvent | undefined): string {
+function describeAtBackend(event: LoggedEvent | undefined): string {
   if (event === undefined) return '';
   if (event.event === 'request-refused') {
     const { running, waiting, slots } = event;
-    const places =
+    const slotCounts =
       slots === undefined
         ? ''
         : ` (${String(running)} ran, ${String(waiting)} waited, ${String(slots)} places)`;
-    return `; ${event.daemon} refused it as ${String(event['reason'])}${places}`;
+    return `; ${event.daemon} refused it as ${String(event['reason'])}${slotCounts}`;
   }
   return `; at its back end, beside ${event.daemon}, the run ended as ${JSON.stringify(event['outcome'])}`;
 }
--- a/src/telemetry/latencies.ts
+++ b/src/telemetry/latencies.ts
@@ -1,25 +1,25 @@
-/** Where the stages of requests report how long they took; the metrics collect it, or nobody does. */
+/** Interface for recording the durations of request stages; implemented by the metrics, if they are enabled. */
 
 /** Stages of a request, and of a change of the configuration. */
 export type LatencyStage =
-  /** From a caller's request to the answer, as this daemon saw it. */
+  /** From the arrival of a caller's request at this daemon to its answer. */
   | 'request'
-  /** From a caller's request to its last attempt at a back end: choosing, probes, and refusals before it. */
+  /** From the arrival of a caller's request to its last attempt: back-end selection, probes, and earlier refusals. */
   | 'choice'
-  /** Waiting for a place or for keys, beside the back end. */
+  /** Waiting for a slot or for ownership of keys, in the back end's sidecar. */
   | 'waiting'
-  /** At the back end. */
+  /** Processing by the back end. */
   | 'backend'
-  /** A change of the configuration at a directory: until it is read, waiting for the batch before, its own disk, a quorum. */
+  /** Configuration change at a directory replica: parsing, waiting for the previous batch, local disk sync, quorum. */
   | 'change-read'
   | 'change-queue'
   | 'change-sync'
   | 'change-quorum';
 
-/** Takes times in ms. */
+/** Records durations in ms. */
 export interface Latencies {
   observe(stage: LatencyStage, service: string, ms: number): void;
 }
 
-/** Collects nothing. */
+/** Discards all durations. */
 export const NO_LATENCIES: Latencies = { observe: () => undefined };
--- a/src/telemetry/logger.ts
+++ b/src/telemetry/logger.ts
@@ -1,14 +1,14 @@
-/** Structured logs: one JSON line for each change of state, on standard error. */
+/** Structured logs on standard error, one JSON line per change of state. */
 import winston from 'winston';
 
-/** A logger of one daemon; `details` are fields of the line. */
+/** Logger of one daemon; `details` become fields of the line. */
 export interface Logger {
   info(message: string, details?: object): unknown;
   warn(message: string, details?: object): unknown;
   error(message: string, details?: object): unknown;
 }
 
-/** Makes the logger of a daemon; `daemon` and `name` are on every line. */
+/** Creates the logger of a daemon; every line has the fields `daemon` and `name`. */
 export function createLogger(daemon: string, name: string, level: string): Logger {
   return winston.createLogger({
     level,
--- a/src/telemetry/management.ts
+++ b/src/telemetry/management.ts
@@ -3,10 +3,10 @@
 import type { FastifyReply } from 'fastify';
 import type { Registry } from 'prom-client';
 
-/** What a daemon tells about itself. */
+/** Source of a daemon's health and metrics. */
 export interface ManagementSource {
   readonly registry: Registry;
-  /** Null when the daemon can do its work, else why not. */
+  /** Reason why the daemon is not ready; null if it is. */
   readonly notReady: () => string | null;
 }
 
@@ -41,7 +41,7 @@
 @Module({})
 class ManagementModule {}
 
-/** A Nest module that serves a daemon's health and metrics. */
+/** Creates a Nest module that serves a daemon's health and metrics. */
 export function managementModule(source: ManagementSource): DynamicModule {
   return {
     module: ManagementModule,
--- a/src/telemetry/metrics.ts
+++ b/src/telemetry/metrics.ts
@@ -1,17 +1,17 @@
-/** Prometheus metrics from counters that the daemons keep as plain numbers. */
+/** Exposes counters, which daemons maintain as plain numbers, as Prometheus metrics. */
 import { collectDefaultMetrics, Gauge, Registry } from 'prom-client';
 
-/** Reads one value. */
+/** Reads the present value of a metric. */
 export type ReadValue = () => number;
 
-/** A registry with the process metrics of Node. */
+/** Creates a registry that contains Node's process metrics. */
 export function createRegistry(): Registry {
   const registry = new Registry();
   collectDefaultMetrics({ register: registry });
   return registry;
 }
 
-/** Adds a value that is read when the metrics are asked for. */
+/** Adds a gauge whose value is read on each scrape. */
 export function exposeValue(registry: Registry, name: string, help: string, read: ReadValue): void {
   registry.registerMetric(
     new Gauge({
@@ -25,7 +25,7 @@
   );
 }
 
-/** Adds a family of values with one label. */
+/** Adds a family of gauges with one label, whose values are read on each scrape. */
 export function exposeFamily(
   registry: Registry,
   name: string,
--- a/src/transport/hello.ts
+++ b/src/transport/hello.ts
@@ -1,13 +1,13 @@
-/** The first message on every internal connection: who is calling, and proof that it belongs here. */
+/** First message on every internal connection: identity of the dialing daemon, and the token that authenticates it. */
 import { timingSafeEqual } from 'node:crypto';
 import * as z from 'zod/mini';
 
-/** Version of the internal messages; peers with another version are refused. */
+/** Version of the internal protocol; peers with another version are refused. */
 export const PROTOCOL_VERSION = 1;
 
-/** Which program is at the other end. */
+/** Schema of `PeerRole`. */
 export const peerRoleSchema = z.enum(['control', 'router', 'agent', 'tool', 'sidecar']);
-/** Which program is at the other end. */
+/** Kind of program at the other end of a connection. */
 export type PeerRole = z.infer<typeof peerRoleSchema>;
 
 const helloSchema = z.object({
@@ -19,13 +19,13 @@
   zone: z.string().check(z.maxLength(200)),
 });
 
-/** First message of the dialing side. */
+/** First message, sent by the dialing side. */
 export type Hello = z.infer<typeof helloSchema>;
 
 /** Why a hello was refused. */
 export type HelloRefusal = 'not-a-hello' | 'wrong-version' | 'wrong-token';
 
-/** Checks a first message against the cluster's shared token; returns the hello or why it was refused. */
+/** Checks a first message against the cluster's shared token; returns the hello, or the reason to refuse it. */
 export function checkHello(message: unknown, token: string): Hello | HelloRefusal {
   const parsed = helloSchema.safeParse(message);
   if (!parsed.success) return 'not-a-hello';
@@ -34,7 +34,7 @@
   return parsed.data;
 }
 
-/** Compares two secrets in time that does not depend on where they differ. */
+/** Compares two secrets in a time that does not depend on where they differ. */
 export function sameSecret(left: string, right: string): boolean {
   const leftBytes = Buffer.from(left);
   const rightBytes = Buffer.from(right);
--- a/src/transport/listen-check.ts
+++ b/src/transport/listen-check.ts
@@ -1,11 +1,11 @@
-/** Finds out whether a process listens at an address. */
+/** Checks whether a process listens at an address. */
 import { connect } from 'node:net';
 import type { SocketAddress } from '../model/socket-address.js';
 
-/** Time in ms to find out whether anything listens at an address. */
+/** Timeout of the check, in ms. */
 const LISTEN_CHECK_MS = 400;
 
-/** Whether any process listens at an address; silence counts as yes. */
+/** Whether any process listens at an address; only a refused connection counts as no, a timeout counts as yes. */
 export async function listensAt({ host, port }: SocketAddress): Promise<boolean> {
   return await new Promise((resolve) => {
     const socket = connect({ host, port });
--- a/src/transport/message-client.ts
+++ b/src/transport/message-client.ts
@@ -1,19 +1,19 @@
-/** Dials one address and keeps a connection to it, with a growing pause between attempts. */
+/** Maintains a connection to one address, with exponential backoff between attempts. */
 import { connect, type Socket } from 'node:net';
 import { connectOptions, type SocketAddress } from '../model/socket-address.js';
 import type { Client, ClientHandlers, ClientIdentity } from '../runtime/runtime.js';
 import { PROTOCOL_VERSION } from './hello.js';
 import { MessageConnection } from './message-connection.js';
 
-const FIRST_PAUSE_MS = 50;
-const LONGEST_PAUSE_MS = 1_000;
+const INITIAL_BACKOFF_MS = 50;
+const MAX_BACKOFF_MS = 1_000;
 const CONNECT_TIMEOUT_MS = 1_000;
 
-/** A self-reconnecting dialer. */
+/** Client that reconnects automatically. */
 export class MessageClient implements Client {
   private connection: MessageConnection | null = null;
-  private pauseMs = FIRST_PAUSE_MS;
-  private timer: NodeJS.Timeout | null = null;
+  private backoffMs = INITIAL_BACKOFF_MS;
+  private reconnectTimer: NodeJS.Timeout | null = null;
   private stopped = false;
   private closedBytesSent = 0;
   private closedBytesReceived = 0;
@@ -22,13 +22,13 @@
     readonly address: SocketAddress,
     private readonly identity: ClientIdentity,
     private readonly handlers: ClientHandlers,
-    /** Local IP address to dial from; null leaves that to the system. */
+    /** Local IP address to dial from; null lets the system choose. */
     private readonly localAddress: string | null = null,
   ) {
     this.dial();
   }
 
-  /** Sends when connected; otherwise the message is dropped and `false` returned. */
+  /** Sends if connected; otherwise drops the message and returns `false`. */
   send(message: unknown): boolean {
     if (this.connection?.open !== true) return false;
     this.connection.send(message);
@@ -42,7 +42,7 @@
     return true;
   }
 
-  /** Bytes sent and received over all connections of this client. */
+  /** Returns the bytes sent and received over all connections of this client. */
   traffic(): { readonly bytesSent: number; readonly bytesReceived: number } {
     return {
       bytesSent: this.closedBytesSent + (this.connection?.bytesSent ?? 0),
@@ -50,10 +50,10 @@
     };
   }
 
-  /** Closes for good; the owner is not told. */
+  /** Closes permanently, without a callback to the owner. */
   stop(): void {
     this.stopped = true;
-    if (this.timer !== null) clearTimeout(this.timer);
+    if (this.reconnectTimer !== null) clearTimeout(this.reconnectTimer);
     this.connection?.close('client is stopping');
   }
 
@@ -62,18 +62,18 @@
     socket.setTimeout(CONNECT_TIMEOUT_MS);
     const connection = new MessageConnection(socket, {
       onMessage: (message) => {
-        this.pauseMs = FIRST_PAUSE_MS;
+        this.backoffMs = INITIAL_BACKOFF_MS;
         this.handlers.onMessage(message);
       },
       onClose: (reason) => {
-        this.closedConnection(reason);
+        this.handleClose(reason);
       },
     });
     this.connection = connection;
     this.failOnConnectTimeout(socket, connection);
     socket.once('connect', () => {
       socket.setTimeout(0);
-      this.greet(connection);
+      this.sendHello(connection);
     });
   }
 
@@ -83,22 +83,22 @@
     });
   }
 
-  private greet(connection: MessageConnection): void {
+  private sendHello(connection: MessageConnection): void {
     connection.watchSilence();
     connection.send({ kind: 'hello', version: PROTOCOL_VERSION, ...this.identity });
     this.handlers.onOpen(connection);
   }
 
-  private closedConnection(reason: string): void {
+  private handleClose(reason: string): void {
     const connection = this.connection;
     this.connection = null;
     this.closedBytesSent += connection?.bytesSent ?? 0;
     this.closedBytesReceived += connection?.bytesReceived ?? 0;
     if (this.stopped) return;
     this.handlers.onClose(reason);
-    this.timer = setTimeout(() => {
+    this.reconnectTimer = setTimeout(() => {
       this.dial();
-    }, this.pauseMs);
-    this.pauseMs = Math.min(this.pauseMs * 2, LONGEST_PAUSE_MS);
+    }, this.backoffMs);
+    this.backoffMs = Math.min(this.backoffMs * 2, MAX_BACKOFF_MS);
   }
 }
--- a/src/transport/message-connection.ts
+++ b/src/transport/message-connection.ts
@@ -1,6 +1,6 @@
 /**
- * One TCP connection of the internal protocol: whole messages out, whole messages in.
- * Nothing here retries; a broken connection reports `close` once and is then finished.
+ * A TCP connection of the internal protocol, which sends and receives complete messages. It does not reconnect: a broken
+ * connection calls `onClose` once and is then unusable.
  */
 import { clockMs } from '../runtime/clock.js';
 import type { Socket } from 'node:net';
@@ -8,28 +8,28 @@
 import { SilenceWatch, type SilenceTiming } from './silence-watch.js';
 import { encodeFrame, FrameDecoder } from './frame-codec.js';
 
-/** Bytes that may wait in the send queue before the peer counts as stuck and is disconnected. */
+/** Size of the send queue in bytes above which the peer counts as stuck and is disconnected. */
 const MAX_QUEUED_BYTES = 64 * 1024 * 1024;
 
-/** Asks for a sign of life, and is one. */
+/** Heartbeat probe and its answer; either shows that its sender is live. */
 const PING = { kind: 'transport-ping' } as const;
 const PONG = { kind: 'transport-pong' } as const;
 
-/** The other side of a connection must be known to read and to write within 2.5 s. */
-const LIVENESS: SilenceTiming = { askEveryMs: 500, limitMs: 2_000 };
+/** A peer that has stopped reading or writing is detected within 2.5 s. */
+const SILENCE_TIMING: SilenceTiming = { askEveryMs: 500, limitMs: 2_000 };
 
-/** What the owner of a connection is told. */
+/** Callbacks to the owner of a connection. */
 export interface ConnectionHandlers {
   onMessage(message: unknown): void;
-  /** Called once. `reason` is for logs and counters. */
+  /** Called exactly once. `reason` is for logs and counters. */
   onClose(reason: string): void;
 }
 
-/** A connection that carries framed messages both ways. */
+/** A connection that carries framed messages in both directions. */
 export class MessageConnection implements Connection {
-  /** Bytes received since the connection was opened. */
+  /** Bytes received since the connection opened. */
   bytesReceived = 0;
-  /** Bytes handed to the socket since the connection was opened. */
+  /** Bytes written to the socket since the connection opened. */
   bytesSent = 0;
   private readonly decoder = new FrameDecoder();
   private closed = false;
@@ -59,23 +59,23 @@
     });
   }
 
-  /** Whether messages can still be sent. */
+  /** Whether messages can be sent. */
   get open(): boolean {
     return !this.closed;
   }
 
-  /** Closes the connection when the peer falls silent, in either direction, although it is not reset. */
+  /** Starts probing the peer; the connection is closed if no bytes arrive, even if it is not reset. */
   watchSilence(): void {
-    if (!this.closed) this.silence.watch(LIVENESS);
+    if (!this.closed) this.silence.watch(SILENCE_TIMING);
   }
 
-  /** Queues one message; dropped without a word when the connection is already closed. */
+  /** Queues one message; silently dropped if the connection is already closed. */
   send(message: unknown): void {
     if (this.closed) return;
     this.sendEncoded(encodeFrame(message));
   }
 
-  /** Queues a frame that was encoded once for many receivers. */
+  /** Queues an encoded frame, which may be shared by many receivers. */
   sendEncoded(frame: Buffer): void {
     if (this.closed) return;
     if (this.socket.writableLength > MAX_QUEUED_BYTES) {
@@ -86,7 +86,7 @@
     this.socket.write(frame);
   }
 
-  /** Closes at once and reports `reason`; later calls do nothing. */
+  /** Closes at once and reports `reason`; further calls have no effect. */
   close(reason: string): void {
     if (this.closed) return;
     this.closed = true;
@@ -104,10 +104,10 @@
       this.close(`${decoded.val.kind}: ${decoded.val.detail}`);
       return;
     }
-    for (const message of decoded.val) this.take(message);
+    for (const message of decoded.val) this.dispatch(message);
   }
 
-  private take(message: unknown): void {
+  private dispatch(message: unknown): void {
     if (isKind(message, PING.kind)) this.send(PONG);
     else if (!isKind(message, PONG.kind)) this.handlers.onMessage(message);
   }
--- a/src/transport/message-server.ts
+++ b/src/transport/message-server.ts
@@ -1,4 +1,4 @@
-/** Accepts internal connections: checks the hello, then hands the peer to its owner. */
+/** Accepts internal connections: checks the hello, then passes the peer to the owner of the server. */
 import { createServer, type Server, type Socket } from 'node:net';
 import { Err, Ok, type Result } from '../result.js';
 import type { SocketAddress } from '../model/socket-address.js';
@@ -6,7 +6,7 @@
 import { checkHello } from './hello.js';
 import { MessageConnection } from './message-connection.js';
 
-/** Time in ms that a caller has for its hello before it is cut off. */
+/** Time in ms after which a connection without a hello is closed. */
 const HELLO_TIMEOUT_MS = 2_000;
 
 /** A listener for internal connections. */
@@ -36,7 +36,7 @@
     });
   }
 
-  /** Bytes sent over all connections that were ever accepted. */
+  /** Bytes sent over all connections since the start, including closed ones. */
   get bytesSent(): number {
     return [...this.connections].reduce(
       (sum, connection) => sum + connection.bytesSent,
@@ -58,7 +58,7 @@
           handlers.onMessage(message);
           return;
         }
-        handlers = this.greet(connection, message);
+        handlers = this.acceptHello(connection, message);
         if (handlers !== null) clearTimeout(helloTimer);
       },
       onClose: (reason) => {
@@ -75,7 +75,7 @@
     this.connections.add(connection);
   }
 
-  private greet(connection: MessageConnection, message: unknown): PeerHandlers | null {
+  private acceptHello(connection: MessageConnection, message: unknown): PeerHandlers | null {
     const hello = checkHello(message, this.token);
     if (typeof hello === 'string') {
       connection.close(hello);
--- a/src/transport/silence-watch.ts
+++ b/src/transport/silence-watch.ts
@@ -1,87 +1,87 @@
 /**
- * Notices that the peer of a connection has fallen silent: open connections may stop to carry bytes without a reset,
- * while new ones work. The peer is asked for a sign of life at intervals; any bytes that arrive are one.
+ * Detects that the peer of a connection has fallen silent: an open connection may stop carrying bytes without a reset
+ * while new connections work. The peer is probed at intervals; any received bytes show that it is live.
  */
 
 import { processIntervals } from '../runtime/clock.js';
 
-/** Lateness of this process's own timer, in ms, after which its measure of silence starts anew. */
-const STALL_MS = 250;
+/** Delay of this process's own timer, in ms, after which the measurement of silence restarts. */
+const MIN_STALL_MS = 250;
 
-/** When a peer counts as silent, in ms. */
+/** Times after which a peer is probed and counts as silent, in ms. */
 export interface SilenceTiming {
-  /** Pause between questions for a sign of life. */
+  /** Interval between probes. */
   readonly askEveryMs: number;
   /**
-   * Silence after which a peer that was asked counts as lost. Below the pause the peer is not asked: a connection that
-   * carried nothing for one pause is closed.
+   * Silence after which a probed peer counts as lost. If it is shorter than the probe interval, the peer is not probed
+   * first: a connection that carried nothing for one interval is closed.
    */
   readonly limitMs: number;
 }
 
-/** What a watch does. */
+/** Clock and callbacks of a watch. */
 export interface SilenceWatchPorts {
   nowMs(): number;
-  /** Asks the peer for a sign of life. */
+  /** Sends a probe to the peer. */
   ask(): void;
-  /** Called once. */
+  /** Called once when the peer counts as silent; the watch has then stopped. */
   onSilence(): void;
 }
 
-/** A watch over one connection. */
+/** Watches one connection. */
 export class SilenceWatch {
   private cancelChecks: (() => void) | null = null;
   private timing: SilenceTiming | null = null;
-  private heardMs: number;
+  private receivedMs: number;
   private checkedMs = 0;
-  /** Whether it was asked since it was last heard. */
-  private asked = false;
+  /** Whether the peer was probed since bytes were last received. */
+  private probed = false;
 
   constructor(private readonly ports: SilenceWatchPorts) {
-    this.heardMs = ports.nowMs();
+    this.receivedMs = ports.nowMs();
   }
 
-  /** Bytes have arrived. */
+  /** Records that bytes were received. */
   heard(): void {
-    this.asked = false;
-    this.heardMs = this.ports.nowMs();
+    this.probed = false;
+    this.receivedMs = this.ports.nowMs();
   }
 
-  /** Watches from now on by this timing; going on by the same one changes nothing. */
+  /** Starts watching with a timing; has no effect if the same timing is already in use. */
   watch(timing: SilenceTiming): void {
     if (this.timing === timing) return;
     this.stop();
     this.timing = timing;
     this.heard();
-    this.checkedMs = this.heardMs;
+    this.checkedMs = this.receivedMs;
     this.cancelChecks = processIntervals.every(timing.askEveryMs, () => {
       this.check(timing);
     });
   }
 
-  /** Watches no more. */
+  /** Stops watching. */
   stop(): void {
     this.cancelChecks?.();
     this.cancelChecks = null;
     this.timing = null;
   }
 
-  /** A process that did not run itself cannot tell whether its peer was silent. */
+  /** Checks the peer. After a stall of this process the measurement restarts, since the peer may not have been silent. */
   private check({ askEveryMs, limitMs }: SilenceTiming): void {
     const nowMs = this.ports.nowMs();
-    const stalled = nowMs - this.checkedMs > askEveryMs + STALL_MS;
+    const stalled = nowMs - this.checkedMs > askEveryMs + MIN_STALL_MS;
     this.checkedMs = nowMs;
-    if (stalled) this.heardMs = nowMs;
-    const silentMs = nowMs - this.heardMs;
-    // A timer of this process that is late says nothing of a peer that was not asked yet.
-    const mayCount = this.asked || limitMs < askEveryMs;
-    if (silentMs > limitMs && mayCount) {
+    if (stalled) this.receivedMs = nowMs;
+    const silentMs = nowMs - this.receivedMs;
+    // Silence of a peer that was not probed yet may only mean that this process's timer was late.
+    const isConclusive = this.probed || limitMs < askEveryMs;
+    if (silentMs > limitMs && isConclusive) {
       this.stop();
       this.ports.onSilence();
       return;
     }
     if (silentMs < askEveryMs / 2) return;
-    this.asked = true;
+    this.probed = true;
     this.ports.ask();
   }
 }
--- a/test/cli/check-command.test.ts
+++ b/test/cli/check-command.test.ts
@@ -1,4 +1,4 @@
-/** `aldertide check` on the files that the repository ships. */
+/** `aldertide check` on deployment files of the repository and on an invalid file. */
 import { execFile } from 'node:child_process';
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
--- a/test/config/yaml-file.test.ts
+++ b/test/config/yaml-file.test.ts
@@ -3,7 +3,7 @@
 import { controlSettingsSchema } from '../../src/config/daemon-settings.js';
 import { formatProblem, parseYaml } from '../../src/config/yaml-file.js';
 
-const GOOD = `version: 1
+const VALID = `version: 1
 services:
   stock:
     division: keyed
@@ -20,12 +20,12 @@
   return parsed.ok ? [] : parsed.val.map((problem) => formatProblem(problem));
 }
 
-test('a good file is taken', (t) => {
-  t.deepEqual(problems(GOOD), []);
+test('a valid file is accepted', (t) => {
+  t.deepEqual(problems(VALID), []);
 });
 
-test('all problems come at once, each with its line, field, what was found and what is allowed', (t) => {
-  const text = GOOD.replace('shards: 8', 'shards: many').replace('slots: 6', 'slots: 0\n    colour: red');
+test('all problems are reported together, each with its line, its field, the value found and the values allowed', (t) => {
+  const text = VALID.replace('shards: 8', 'shards: many').replace('slots: 6', 'slots: 0\n    colour: red');
   const found = problems(text);
   t.is(found.length, 3);
   t.true(found.some((line) => line.startsWith('file.yaml:6: services.stock.shards: found "many"')));
@@ -33,16 +33,16 @@
   t.true(found.some((line) => line === 'file.yaml:8: services.stock.colour: found "red"; unknown field'));
 });
 
-const BAD: readonly [string, string, RegExp][] = [
+const INVALID: readonly [string, string, RegExp][] = [
   ['not YAML', 'a: [', /file\.yaml:\d+/],
   ['a tab for indentation', 'version: 1\n\tservices: {}', /file\.yaml:2/],
-  ['no key for a keyed service', GOOD.replace(/ +key:.*\n/, ''), /services\.stock\.key.*needs `key`/],
-  ['a host name in place of an address', GOOD.replace('10.0.0.1', 'example'), /address\.host/],
+  ['no key for a keyed service', VALID.replace(/ +key:.*\n/, ''), /services\.stock\.key.*needs `key`/],
+  ['a host name instead of an address', VALID.replace('10.0.0.1', 'example'), /address\.host/],
   ['an empty file', '', /file\.yaml:1/],
 ];
 
-for (const [name, text, expected] of BAD) {
-  test(`bad file: ${name}`, (t) => {
+for (const [name, text, expected] of INVALID) {
+  test(`invalid file: ${name}`, (t) => {
     t.regex(problems(text).join('\n'), expected);
   });
 }
--- a/test/loopback.ts
+++ b/test/loopback.ts
@@ -1,23 +1,23 @@
-/** Loopback for tests. */
+/** Free loopback ports for tests. */
 import { createServer } from 'node:net';
 
 /**
- * Ports from which tests take theirs. They lie below those that the system gives to connections: one of these was given away
- * between the look and the listening of a test ("address already in use", once in a run beside other work).
+ * Range of ports for tests. It lies below the system's ephemeral ports: the system may assign one of those to a connection
+ * between the check and the test's listen call, which then fails with "address already in use".
  */
 const FIRST_PORT = 10_000;
-const PORTS = 20_000;
+const PORT_COUNT = 20_000;
 
-/** Distance of the first ports of two processes that follow each other; no test takes so many. */
-const PORTS_A_PROCESS = 97;
+/** Distance between the first ports of processes with consecutive ids; more than any test process uses. */
+const PORTS_PER_PROCESS = 97;
 
-let taken = 0;
+let allocated = 0;
 
-/** A port of 127.0.0.1 at which nobody listens, and which this process has not given before. */
+/** Returns a port of 127.0.0.1 at which no process listens and which this process has not returned before. */
 export async function freePort(): Promise<number> {
   for (;;) {
-    const port = FIRST_PORT + ((process.pid * PORTS_A_PROCESS + taken) % PORTS);
-    taken += 1;
+    const port = FIRST_PORT + ((process.pid * PORTS_PER_PROCESS + allocated) % PORT_COUNT);
+    allocated += 1;
     if (await isFree(port)) return port;
   }
 }
--- a/test/model/backend-life.test.ts
+++ b/test/model/backend-life.test.ts
@@ -1,8 +1,8 @@
-/** Names of lives tell them apart and keep the id. */
+/** Names of back-end incarnations are unique and contain the id. */
 import test from 'ava';
 import { idOfLife, lifeName, type BackendLife } from '../../src/model/backend-life.js';
 
-const LIVES: readonly BackendLife[] = [
+const INCARNATIONS: readonly BackendLife[] = [
   { id: 'one', bornMs: null },
   { id: 'one', bornMs: 1 },
   { id: 'one', bornMs: 2 },
@@ -11,7 +11,7 @@
   { id: '@', bornMs: null },
 ];
 
-test('no two lives share a name, and each name tells the id', (t) => {
-  t.is(new Set(LIVES.map(lifeName)).size, LIVES.length);
-  for (const life of LIVES) t.is(idOfLife(lifeName(life)), life.id);
+test('incarnations have different names, and each name yields the id', (t) => {
+  t.is(new Set(INCARNATIONS.map(lifeName)).size, INCARNATIONS.length);
+  for (const incarnation of INCARNATIONS) t.is(idOfLife(lifeName(incarnation)), incarnation.id);
 });
--- a/test/model/value-text.test.ts
+++ b/test/model/value-text.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { isJsonText, readText, writeText } from '../../src/model/value-text.js';
 
-test('objects come back as they were, and plain ones are JSON', (t) => {
+test('objects are restored unchanged, and plain ones are written as JSON', (t) => {
   const objects = fc.dictionary(fc.string(), fc.jsonValue(), { noNullPrototype: true });
   const property = fc.property(objects, (value) => {
     t.deepEqual(readText(writeText(value)), value);
@@ -14,7 +14,7 @@
   t.true(isJsonText(writeText({ index: 1, list: [null, 'x', { deep: true }], missing: undefined })));
 });
 
-test('what JSON cannot hold comes back as it was', (t) => {
+test('values that JSON cannot represent are restored unchanged', (t) => {
   const values = [
     { cells: Uint32Array.from([1, 2]) },
     { nothing: Number.NaN },
@@ -34,7 +34,7 @@
   }
 });
 
-test('records that earlier versions wrote are read', (t) => {
+test('records written by earlier versions are read', (t) => {
   const entry = { index: 3, term: 1, payload: { kind: 'command', proposalId: 'a', command: { kind: 'x' } } };
   t.deepEqual(readText(stringify(entry)), entry);
 });
--- a/test/platform/event-docs.test.ts
+++ b/test/platform/event-docs.test.ts
@@ -1,4 +1,4 @@
-/** Every event that the daemons write stands in the table of docs/OPERATIONS.md. */
+/** The table of events in docs/OPERATIONS.md lists exactly the events that the daemons log. */
 import { readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import test from 'ava';
@@ -12,7 +12,7 @@
   );
 }
 
-test('the events of the code are those of the table', (t) => {
+test('the table lists exactly the events in the code', (t) => {
   const written = new Set(
     ['src/sidecar', 'src/quarantine', 'src/directory', 'src/telemetry', 'platform'].flatMap(eventsIn),
   );
--- a/test/platform/explain.test.ts
+++ b/test/platform/explain.test.ts
@@ -1,4 +1,4 @@
-/** From a request's id to its cause, on lines as the daemons write them. */
+/** Explanation of a request from log lines as the daemons write them. */
 import test from 'ava';
 import { explainRequest, readEvents } from '../../src/telemetry/explain.js';
 
@@ -13,7 +13,7 @@
   '{"time":"cut off',
 ].join('\n');
 
-test('a refused request: its path in order, beliefs of the daemons on it, and the cause', (t) => {
+test('a refused request: its path ordered by time, state changes of the daemons on the path, and the cause', (t) => {
   const { path, beliefs, cause } = explainRequest('r', readEvents(LOG));
   t.deepEqual(
     path.map(({ event }) => event),
@@ -29,7 +29,7 @@
   );
 });
 
-test('a request whose run broke off', (t) => {
+test('a request whose run at the back end broke off', (t) => {
   const log = [
     '{"time":"2026-01-01T00:00:05.100Z","daemon":"two","event":"run-ended","requestId":"r","outcome":{"kind":"broken"}}',
     '{"time":"2026-01-01T00:00:05.200Z","daemon":"one","event":"request-unknown","requestId":"r","reason":"x"}',
@@ -44,7 +44,7 @@
   t.is(explainRequest('unknown', readEvents(LOG)).cause, null);
 });
 
-test('a request that is refused for good, and one that ran beside the request that ended its back end', (t) => {
+test('a quarantined request, and one that ran concurrently with the request that crashed its back end', (t) => {
   const log = [
     '{"time":"2026-01-01T00:00:04.000Z","daemon":"two","event":"backend-ended","instance":"i","runs":[{"requestId":"r","fingerprint":"f"},{"requestId":"beside","fingerprint":"g"}]}',
     '{"time":"2026-01-01T00:00:04.000Z","daemon":"two","event":"run-ended","requestId":"beside","outcome":{"kind":"broken"}}',
--- a/test/platform/line-writer.test.ts
+++ b/test/platform/line-writer.test.ts
@@ -1,10 +1,10 @@
-/** Logs that nobody reads. */
+/** Line writers and event logs whose reader does not read. */
 import { Writable } from 'node:stream';
 import test from 'ava';
 import { JsonEventLog } from '../../src/telemetry/event-log.js';
 import { StreamLineWriter, type LineWriter } from '../../src/telemetry/line-writer.js';
 
-test('a reader that stops reading never holds the writer up, and what was dropped is told', (t) => {
+test('a reader that stops reading does not block the writer, and dropped lines are reported', (t) => {
   const stuck = new Writable({ write: () => undefined });
   const writer = new StreamLineWriter(stuck, 100);
   const written = Array.from({ length: 50 }, () => writer.write('0123456789'));
@@ -12,7 +12,7 @@
   t.true(stuck.writableLength < 150);
 });
 
-test('a stream that failed takes no more lines', (t) => {
+test('a failed stream accepts no further lines', (t) => {
   const failing = new Writable({
     write: (_chunk, _encoding, done) => {
       done(new Error('gone'));
@@ -24,7 +24,7 @@
   t.false(writer.write('two'));
 });
 
-test('the number of lines is bounded, and dropped ones are counted in a line of their own', (t) => {
+test('the number of lines is limited, and the number of dropped lines is logged', (t) => {
   const lines: string[] = [];
   const writer: LineWriter = {
     write: (line) => {
--- a/test/platform/operator-calls.test.ts
+++ b/test/platform/operator-calls.test.ts
@@ -1,4 +1,4 @@
-/** The operator's calls as tables of cases. */
+/** Operator calls: parsing, rendering, redirection and acknowledgement. */
 import test from 'ava';
 import { emptyDirectoryState } from '../../src/directory/directory-state.js';
 import { applyDirectoryCommand } from '../../src/directory/directory-machine.js';
@@ -45,13 +45,13 @@
   ['no version', call('PUT', { routes: {} }, '0')],
   ['an empty host', put({ ...ROUTE, host: '' })],
   ['a prefix without slash', put({ ...ROUTE, path_prefix: 'p/' })],
-  ['a time-out above ten minutes', put({ ...ROUTE, timeout_s: 601 })],
-  ['no time-out', put({ ...ROUTE, timeout_s: undefined })],
+  ['a timeout above ten minutes', put({ ...ROUTE, timeout_s: 601 })],
+  ['no timeout', put({ ...ROUTE, timeout_s: undefined })],
   ['weights that sum to 0', put({ ...ROUTE, weighted_services: [{ service: 's', weight: 0 }] })],
   ['no service', put({ ...ROUTE, service: undefined })],
   ['an unknown kind', put({ ...ROUTE, route_type: 'other' })],
-  ['an If-Match that is no version', call('PUT', { version: 3 }, 'x')],
-  ['an item without version', call('PATCH', { upsert: { routes: { r: ROUTE } } })],
+  ['an If-Match that is not a version', call('PUT', { version: 3 }, 'x')],
+  ['an item without a version', call('PATCH', { upsert: { routes: { r: ROUTE } } })],
 ];
 
 for (const [name, invalid] of INVALID) {
@@ -60,11 +60,11 @@
   });
 }
 
-test('a time-out of exactly ten minutes and unknown fields are taken', async (t) => {
+test('a timeout of exactly ten minutes and unknown fields are accepted', async (t) => {
   t.true((await readCommand(put({ ...ROUTE, timeout_s: 600, later: true }))).ok);
 });
 
-test('the whole configuration is read back as it was put', async (t) => {
+test('a configuration is rendered as it was submitted', async (t) => {
   const state = emptyDirectoryState();
   const body = {
     version: 3,
@@ -77,7 +77,7 @@
   t.deepEqual(JSON.parse(renderConfiguration(state, true)), body);
 });
 
-test('items are read back with their own versions, and a dropped one is gone', async (t) => {
+test('items are rendered with their own versions, and without removed ones', async (t) => {
   const state = emptyDirectoryState();
   const first = {
     upsert: {
@@ -96,7 +96,7 @@
   t.deepEqual(JSON.parse(renderConfiguration(state, false)), { ...first.upsert, routes });
 });
 
-test('the same call has the same digest, and another base or body another', async (t) => {
+test('identical calls have the same digest, and calls with another base or body a different one', async (t) => {
   const digest = async (sent: Call): Promise<string> => {
     const command = (await readCommand(sent)).unwrap();
     return command.kind === 'configure-revision' ? command.digest : '';
@@ -111,7 +111,7 @@
 class Replica implements OperatedReplica {
   readonly leaderElsewhere = '10.0.0.2:7620';
   readonly proposed: DirectoryCommand[] = [];
-  /** Digests of changes that are known to be committed. */
+  /** Digests of committed changes. */
   readonly accepted = new Set<string>();
   accepts = true;
 
@@ -131,7 +131,7 @@
   }
 }
 
-test('a change that was taken is acknowledged by any replica that knows, without another proposal', async (t) => {
+test('any replica that knows of a committed change acknowledges a repeated call without a new proposal', async (t) => {
   const sent = call('PATCH', { version: 3, upsert: {}, remove: {} }, '1');
   const command = (await readCommand(sent)).unwrap();
   for (const leading of [true, false]) {
@@ -146,32 +146,32 @@
   }
 });
 
-test('an order that is not acknowledged is told with the reason, and one that is, or a read, is not', async (t) => {
-  const told: EventFields[] = [];
-  const log: EventLog = { ...SILENT_EVENT_LOG, event: (_name, fields) => told.push(fields) };
+test('a change that is not acknowledged is logged with its reason; acknowledged changes and reads are not logged', async (t) => {
+  const logged: EventFields[] = [];
+  const log: EventLog = { ...SILENT_EVENT_LOG, event: (_name, fields) => logged.push(fields) };
   const leader = new Replica(true);
   const calls = new OperatorCalls(leader, 8_306, new Set(), NO_LATENCIES, log);
   await calls.take(call('PATCH', { version: 3, upsert: {}, remove: {} }, '1'));
   await calls.take(call('GET', ''));
-  t.deepEqual(told, []);
+  t.deepEqual(logged, []);
   await calls.take(call('PUT', '{"version":3,"rou', '0'));
   leader.accepts = false;
   await calls.take(call('PATCH', { version: 3, upsert: {}, remove: {} }, '1'));
   await new OperatorCalls(new Replica(false), 8_306, new Set(), NO_LATENCIES, log).take(call('PUT', '', '0'));
   t.deepEqual(
-    told.map(({ status }) => status),
+    logged.map(({ status }) => status),
     [400, 503, 307],
   );
-  t.deepEqual(told[0]?.['reason'], { error: 'the body is not JSON' });
-  t.is(told[2]?.['leader'], 'http://10.0.0.2:8306/config');
+  t.deepEqual(logged[0]?.['reason'], { error: 'the body is not JSON' });
+  t.is(logged[2]?.['leader'], 'http://10.0.0.2:8306/config');
 });
 
-test('a replica that does not lead sends a change on without reading it', async (t) => {
+test('a follower redirects a change without parsing it', async (t) => {
   const calls = new OperatorCalls(new Replica(false), 8_306, new Set());
   t.is((await calls.take(call('PUT', '{"version":3,"rou', '0'))).status, 307);
 });
 
-test('a long change is read in turns, between which other work goes on', async (t) => {
+test('a long change is parsed in several turns of the event loop', async (t) => {
   const routes = Object.fromEntries(Array.from({ length: 1_000 }, (_, at) => [`r-${at}`, ROUTE]));
   let turns = 0;
   let reading = true;
@@ -206,7 +206,7 @@
   });
 }
 
-test('evacuation: without a clear outcome it is not acknowledged, and a follower names the leader', async (t) => {
+test('evacuation: an unknown outcome is not acknowledged, and a follower redirects to the leader', async (t) => {
   const replica = new Replica(true);
   replica.accepts = false;
   const zones = new Set(['z-1']);
--- a/test/runtime/clock-skips.test.ts
+++ b/test/runtime/clock-skips.test.ts
@@ -1,8 +1,8 @@
-/** What a leader believes of others' silence after its machine was suspended. */
+/** Detection of recent suspensions, after which a leader must not rely on the silence of its peers. */
 import test from 'ava';
 import { ClockSkips } from '../../src/runtime/clock-skips.js';
 
-test('a clock that has skipped time says so for a while', (t) => {
+test('a skip of the clock is reported for the given period', (t) => {
   let steadyMs = 1_000;
   let skippedMs = 0;
   const skips = new ClockSkips({ steadyMs: () => steadyMs, nowMs: () => steadyMs + skippedMs });
--- a/test/runtime/process-intervals.test.ts
+++ b/test/runtime/process-intervals.test.ts
@@ -2,7 +2,7 @@
 import { ProcessIntervals } from '../../src/runtime/process-intervals.js';
 import { ManualTime } from '../sidecar/manual-runtime.js';
 
-/** Intervals on a time that counts how often the process wakes up. */
+/** Creates intervals on manual time and a counter of wake-ups. */
 function setUp(): { time: ManualTime; intervals: ProcessIntervals; wakeUps: () => number } {
   const time = new ManualTime();
   let count = 0;
@@ -15,7 +15,7 @@
   return { time, intervals: new ProcessIntervals({ nowMs: () => time.nowMs, after }), wakeUps: () => count };
 }
 
-test('intervals that begin at any time share their wake-ups', (t) => {
+test('intervals that start at different times share their wake-ups', (t) => {
   const { time, intervals, wakeUps } = setUp();
   const calls = Array.from({ length: 40 }, () => 0);
   for (const at of calls.keys()) {
@@ -31,7 +31,7 @@
   for (const [at, count] of calls.entries()) t.is(count - (callsBefore[at] ?? 0), at % 2 === 0 ? 20 : 10);
 });
 
-test('the first call comes after half the interval at least and one and a half at most', (t) => {
+test('the first call comes after between half and one and a half times the interval', (t) => {
   for (const startMs of [0, 1, 49, 50, 51, 99]) {
     const { time, intervals } = setUp();
     time.pass(startMs);
@@ -46,7 +46,7 @@
   }
 });
 
-test('an interval that has ended is not called again, also when another ends it in the same turn', (t) => {
+test('an ended interval is not called again, even if another interval ends it in the same wake-up', (t) => {
   const { time, intervals } = setUp();
   let calls = 0;
   intervals.every(10, () => {
@@ -57,7 +57,7 @@
   t.is(calls, 0);
 });
 
-test('an interval that is begun in a call is kept', (t) => {
+test('an interval that is started during a call continues', (t) => {
   const { time, intervals } = setUp();
   let calls = 0;
   const cancel = intervals.every(10, () => {
--- a/test/runtime/suspension-clock.test.ts
+++ b/test/runtime/suspension-clock.test.ts
@@ -1,4 +1,4 @@
-/** Which differences between the clocks of a machine count as time. */
+/** Which differences between the steady and the wall clock count as passed time. */
 import test from 'ava';
 import { ProcessTimers } from '../../src/runtime/process-timers.js';
 import { SuspensionClock } from '../../src/runtime/suspension-clock.js';
@@ -7,7 +7,7 @@
   steadyMs = 1_000;
   wallMs = 1_800_000_000_000;
   readonly skips: number[] = [];
-  /** Done after the next reading of the wall clock. */
+  /** Called after the next reading of the wall clock. */
   afterWall: () => void = () => undefined;
   readonly clock = new SuspensionClock(
     () => this.steadyMs,
@@ -29,37 +29,37 @@
 
 interface Case {
   readonly name: string;
-  readonly happens: (machine: Machine) => void;
-  /** Time in ms that the clock must have moved on by. */
+  readonly simulate: (machine: Machine) => void;
+  /** Expected advance of the clock, in ms. */
   readonly passedMs: number;
 }
 
 const CASES: readonly Case[] = [
   {
-    name: 'nothing but time',
-    happens: (machine) => {
+    name: 'normal operation',
+    simulate: (machine) => {
       machine.run(5_000);
     },
     passedMs: 5_000,
   },
   {
-    name: 'a stop of the process, which the steady clock counts',
-    happens: (machine) => {
+    name: 'a stopped process, which the steady clock includes',
+    simulate: (machine) => {
       machine.run(7_000);
     },
     passedMs: 7_000,
   },
   {
     name: 'a suspension',
-    happens: (machine) => {
+    simulate: (machine) => {
       machine.run(100);
       machine.wallMs += 4_000;
     },
     passedMs: 4_100,
   },
   {
-    name: 'two suspensions, one just after the other',
-    happens: (machine) => {
+    name: 'two suspensions in short succession',
+    simulate: (machine) => {
       machine.wallMs += 4_000;
       machine.clock.nowMs();
       machine.run(1);
@@ -68,24 +68,24 @@
     passedMs: 7_001,
   },
   {
-    name: 'a wall clock that is set back counts as nothing',
-    happens: (machine) => {
+    name: 'a wall clock that is set back, without effect',
+    simulate: (machine) => {
       machine.run(100);
       machine.wallMs -= 5_000;
     },
     passedMs: 100,
   },
   {
-    name: 'a wall clock that is set forward looks like a suspension',
-    happens: (machine) => {
+    name: 'a wall clock that is set forward, as a suspension',
+    simulate: (machine) => {
       machine.run(100);
       machine.wallMs += 2_000;
     },
     passedMs: 2_100,
   },
   {
-    name: 'a wall clock that is set forward and back counts once',
-    happens: (machine) => {
+    name: 'a wall clock that is set forward and back, once',
+    simulate: (machine) => {
       machine.wallMs += 2_000;
       machine.clock.nowMs();
       machine.wallMs -= 2_000;
@@ -95,7 +95,7 @@
   },
   {
     name: 'a suspension after the wall clock was set back',
-    happens: (machine) => {
+    simulate: (machine) => {
       machine.wallMs -= 5_000;
       machine.clock.nowMs();
       machine.wallMs += 3_000;
@@ -104,16 +104,16 @@
   },
 ];
 
-for (const { name, happens, passedMs } of CASES) {
+for (const { name, simulate, passedMs } of CASES) {
   test(`the clock counts: ${name}`, (t) => {
     const machine = new Machine();
     const startMs = machine.clock.nowMs();
-    happens(machine);
+    simulate(machine);
     t.is(machine.clock.nowMs() - startMs, passedMs);
   });
 }
 
-test('clocks that run at rates 500 ppm apart never add up to a jump', (t) => {
+test('a drift of 500 ppm between the clocks never adds up to a jump', (t) => {
   const machine = new Machine();
   const startMs = machine.clock.nowMs();
   for (let second = 0; second < 3_600; second += 1) {
@@ -124,7 +124,7 @@
   t.deepEqual(machine.skips, []);
 });
 
-test('a stop of the process between the readings of the two clocks is not counted twice', (t) => {
+test('a process stopped between the readings of the two clocks does not count the time twice', (t) => {
   const machine = new Machine();
   const startMs = machine.clock.nowMs();
   machine.run(100);
@@ -136,7 +136,7 @@
   t.is(machine.clock.nowMs() - startMs, 6_300);
 });
 
-test('a timer whose time has passed in suspension fires at once, another after the rest of its time', async (t) => {
+test('a timer that came due during a suspension fires at once, another after its remaining time', async (t) => {
   let nowMs = 0;
   const timers = new ProcessTimers(() => nowMs);
   const fired: string[] = [];
--- a/test/telemetry/stall-watch.test.ts
+++ b/test/telemetry/stall-watch.test.ts
@@ -3,21 +3,21 @@
 import { watchStalls } from '../../src/telemetry/stall-watch.js';
 import { ManualTime } from '../sidecar/manual-runtime.js';
 
-test('a process that was kept from running tells for how long, and one that runs tells nothing', (t) => {
+test('a stalled process logs the duration of the stall, and a running one logs nothing', (t) => {
   const time = new ManualTime();
-  const told: EventFields[] = [];
+  const logged: EventFields[] = [];
   const cancel = watchStalls(time.runtime, {
     ...SILENT_EVENT_LOG,
-    event: (_name, fields) => told.push(fields),
+    event: (_name, fields) => logged.push(fields),
   });
   time.pass(1_000);
-  t.deepEqual(told, []);
+  t.deepEqual(logged, []);
   time.nowMs += 900;
   time.pass(100);
-  t.is(told.length, 1);
-  t.true(Number(told[0]?.['stalledMs']) >= 800);
+  t.is(logged.length, 1);
+  t.true(Number(logged[0]?.['stalledMs']) >= 800);
   cancel();
   time.nowMs += 5_000;
   time.pass(100);
-  t.is(told.length, 1);
+  t.is(logged.length, 1);
 });
--- a/test/transport/frame-codec.test.ts
+++ b/test/transport/frame-codec.test.ts
@@ -13,7 +13,7 @@
 const SEED = 1;
 const TOKEN = 'a-token-of-some-length';
 
-test('messages come out whole, however the bytes are cut', (t) => {
+test('messages are decoded completely, however the bytes are split', (t) => {
   const messages = [{ kind: 'one', cells: Uint32Array.from([1, 2]) }, 'two', [3, null]];
   const bytes = Buffer.concat(messages.map((message) => encodeFrame(message)));
   const property = fc.property(fc.array(fc.nat(bytes.length), { maxLength: 8 }), (cuts) => {
@@ -30,7 +30,7 @@
   });
 });
 
-test('garbage is an error or a message that no receiver accepts; nothing throws', (t) => {
+test('garbage yields an error or a message that no receiver accepts, never an exception', (t) => {
   const property = fc.property(fc.uint8Array({ maxLength: 200 }), (bytes) => {
     const framed = Buffer.concat([Buffer.alloc(4), Buffer.from(bytes)]);
     framed.writeUInt32BE(bytes.length, 0);
@@ -59,7 +59,7 @@
   return { kind: 'changes', index: 7, changes: [{ kind: 'items', items }] };
 }
 
-test('a long message for slow links is compressed to a tenth and comes out as it was, however it is cut', (t) => {
+test('a long message for slow links is compressed to less than a tenth and decoded unchanged, however it is split', (t) => {
   const message = manyRoutes(2_000);
   const frame = encodeCompactFrame(message);
   t.true(frame.length * 10 < encodeFrame(message).length, `${frame.length} bytes`);
@@ -75,7 +75,7 @@
   t.deepEqual(encodeCompactFrame({ kind: 'alive' }), encodeFrame({ kind: 'alive' }));
 });
 
-test('a compact frame whose text would be too large, or is none, is an error', (t) => {
+test('a compact frame with a text that is too large or invalid is an error', (t) => {
   const frame = encodeCompactFrame(manyRoutes(2_000));
   const decoded = new FrameDecoder(64 * 1024).push(frame);
   t.is(decoded.err ? decoded.val.kind : '', 'not-parseable');
@@ -85,7 +85,7 @@
   t.is(garbage.err ? garbage.val.kind : '', 'not-parseable');
 });
 
-test('a frame that announces too much is refused before it is read', (t) => {
+test('a frame that announces too large a payload is refused before it is received', (t) => {
   const header = Buffer.alloc(4);
   header.writeUInt32BE(1_001, 0);
   const decoded = new FrameDecoder(1_000).push(header);
@@ -101,7 +101,7 @@
   zone: 'zone',
 };
 
-test('a hello is taken only with the right version and token', (t) => {
+test('a hello is accepted only with the correct version and token', (t) => {
   t.deepEqual(checkHello(HELLO, TOKEN), HELLO as never);
   t.is(checkHello({ ...HELLO, version: PROTOCOL_VERSION + 1 }, TOKEN), 'wrong-version');
   t.is(checkHello({ ...HELLO, token: 'another' }, TOKEN), 'wrong-token');
--- a/test/transport/silence-watch.test.ts
+++ b/test/transport/silence-watch.test.ts
@@ -1,4 +1,4 @@
-/** Connections that carry nothing any more without being reset. */
+/** Detection of connections that stop carrying bytes without being reset. */
 import { createServer, type Socket } from 'node:net';
 import test from 'ava';
 import { LinkClient } from '../../src/link/link-client.js';
@@ -11,44 +11,44 @@
 const TOKEN = 'token-of-the-tests-0123';
 const IDENTITY = { role: 'control', name: 'one', zone: 'z', token: TOKEN } as const;
 
-test('a peer that gives no sign of life is noticed', async (t) => {
-  let asked = 0;
+test('a peer that does not answer probes is detected', async (t) => {
+  let probes = 0;
   await new Promise<void>((resolve) => {
     const watch = new SilenceWatch({
       nowMs: () => performance.now(),
-      ask: () => (asked += 1),
+      ask: () => (probes += 1),
       onSilence: resolve,
     });
     watch.watch(TIMING);
   });
-  t.true(asked > 0);
+  t.true(probes > 0);
 });
 
-test('a late timer of this process is not taken for the silence of a peer that was not asked', async (t) => {
+test('a late timer of this process does not count as silence of a peer that was not probed', async (t) => {
   let lateMs = 0;
-  let asked = 0;
+  let probes = 0;
   await new Promise<void>((resolve) => {
     const watch = new SilenceWatch({
       nowMs: () => performance.now() + lateMs,
-      ask: () => (asked += 1),
+      ask: () => (probes += 1),
       onSilence: resolve,
     });
     watch.watch(TIMING);
     lateMs = 3 * TIMING.limitMs;
   });
-  t.true(asked > 0);
+  t.true(probes > 0);
 });
 
-test('one that answers is never taken for silent', async (t) => {
-  let asked = 0;
+test('a peer that answers probes never counts as silent', async (t) => {
+  let probes = 0;
   let silent = false;
   await new Promise<void>((resolve) => {
     const watch = new SilenceWatch({
       nowMs: () => performance.now(),
       ask: () => {
-        asked += 1;
+        probes += 1;
         watch.heard();
-        if (asked === 20) resolve();
+        if (probes === 20) resolve();
       },
       onSilence: () => {
         silent = true;
@@ -63,8 +63,8 @@
   t.false(silent);
 });
 
-/** A relay that lets nothing through on the connections that stand when it is told so; new ones work. */
-async function relayTo(target: number): Promise<{ port: number; swallow: () => void; close: () => void }> {
+/** Starts a relay; `swallow` discards all further bytes on the present connections, while new ones work. */
+async function startRelay(target: number): Promise<{ port: number; swallow: () => void; close: () => void }> {
   const { connect } = await import('node:net');
   const pairs: { readonly from: Socket; readonly to: Socket }[] = [];
   const server = createServer((from) => {
@@ -96,14 +96,14 @@
   };
 }
 
-test('a connection between daemons that falls silent for good is replaced, also while nothing is sent', async (t) => {
+test('a connection between daemons that falls permanently silent is replaced, even if it is idle', async (t) => {
   const port = await freePort();
   const server = new MessageServer(TOKEN, {
     onPeer: () => ({ onMessage: () => undefined, onClose: () => undefined }),
     onRefused: () => undefined,
   });
   (await server.listen({ host: '127.0.0.1', port })).unwrap();
-  const relay = await relayTo(port);
+  const relay = await startRelay(port);
   let opened = 0;
   const reason = await new Promise<string>((resolve) => {
     const address = { host: '127.0.0.1', port: relay.port };
@@ -128,7 +128,7 @@
   relay.close();
 });
 
-test('a link that rests and falls silent for good is given up', async (t) => {
+test('an idle link that falls permanently silent is closed', async (t) => {
   const server = createServer((socket) => {
     socket.on('error', () => undefined);
     socket.resume();
