--- a/lab/sim/fleet/key-troubles.ts
+++ b/lab/sim/fleet/key-troubles.ts
@@ -3,7 +3,7 @@
  * beside moves of keys.
  */
 import type { KeyRange } from '../../../src/directory/directory-state.js';
-import { lifeName } from '../../../src/model/backend-life.js';
+import { incarnationName } from '../../../src/model/backend-life.js';
 import type { Random } from '../../random.js';
 import type { SimReplica } from '../sim-directory.js';
 import type { FleetMachine } from './fleet-machine.js';
@@ -184,7 +184,7 @@
     if (range === null || target === null) return;
     const from = range.from + this.random.below(range.to - range.from + 1);
     const to = from + this.random.below(range.to - from + 1);
-    this.world.beginMove(this.service, from, to, lifeName(target));
+    this.world.beginMove(this.service, from, to, incarnationName(target));
   }
 
   private ownedRange(): KeyRange | null {
--- a/lab/sim/sim-operator.ts
+++ b/lab/sim/sim-operator.ts
@@ -100,7 +100,7 @@
 
   private async answer({ node }: SimReplica, call: Call): Promise<CallAnswer> {
     if (node === null) return { status: STATUS.firstOfServer };
-    return await new OperatorCalls(node, CONTROL_PORT, new Set()).take(call);
+    return await new OperatorCalls(node, CONTROL_PORT, new Set()).handle(call);
   }
 
   private isLost({ status }: CallAnswer): boolean {
--- a/src/backend-contract/grant-messages.ts
+++ b/src/backend-contract/grant-messages.ts
@@ -6,7 +6,7 @@
  * same machine, so both read the same clock, and a message that was delayed by a frozen process cannot
  * lengthen a grant.
  */
-import { lifeName } from '../model/backend-life.js';
+import { incarnationName } from '../model/backend-life.js';
 import { z } from 'zod';
 
 /** Path prefix of the contract on a back end. */
@@ -108,7 +108,7 @@
 
 /** Name of the life that answered. */
 export function holderLife({ instance, bornMs }: HolderAnswer): string {
-  return lifeName({ id: instance, bornMs: bornMs ?? null });
+  return incarnationName({ id: instance, bornMs: bornMs ?? null });
 }
 
 /** Answer to `PUT release`. */
--- a/src/consensus/raft-frames.ts
+++ b/src/consensus/raft-frames.ts
@@ -1,6 +1,6 @@
 /** Encodes messages between replicas; entries sent to several replicas are serialized only once. */
 import { isJsonText, writeText } from '../model/value-text.js';
-import { encodeFrame, frameOfText } from '../transport/frame-codec.js';
+import { encodeFrame, encodeTextFrame } from '../transport/frame-codec.js';
 import type { AppendRequest, LogEntry, RaftMessage } from './raft-types.js';
 
 /** Encoder for the messages of one replica. */
@@ -18,7 +18,7 @@
     const { entries, ...head } = message;
     const text = this.encodeEntries(entries);
     if (text === null) return encodeFrame(message);
-    return frameOfText(`${JSON.stringify(head).slice(0, -1)},"entries":${text}}`);
+    return encodeTextFrame(`${JSON.stringify(head).slice(0, -1)},"entries":${text}}`);
   }
 
   private encodeEntries(entries: readonly LogEntry[]): string | null {
--- a/src/control-client/control-watch.ts
+++ b/src/control-client/control-watch.ts
@@ -6,7 +6,7 @@
 import type { WatchScope } from '../control/changes.js';
 import type { ControlNotice } from '../control/daemon-messages.js';
 import type { CancelTimer, ClientIdentity, Runtime, Traffic } from '../runtime/runtime.js';
-import { spread } from '../model/text-hash.js';
+import { bucketOf } from '../model/text-hash.js';
 import { ReplicaLink } from './replica-link.js';
 import type { WatchedTable } from './watched-table.js';
 
@@ -46,7 +46,7 @@
     private readonly onUpdate: () => void,
   ) {
     this.lastNoticeMs = runtime.nowMs();
-    const firstPosition = spread(identity.name, control.length);
+    const firstPosition = bucketOf(identity.name, control.length);
     const options = { firstPosition, switchPauseMs: SWITCH_PAUSE_MS };
     this.link = new ReplicaLink(runtime, identity, control, options, {
       onOpen: () => {
--- a/src/control/control-node.ts
+++ b/src/control/control-node.ts
@@ -35,7 +35,7 @@
 import { parsePeerMessage } from './peer-messages.js';
 import { PeerNetwork, type PeerMessage } from './peer-network.js';
 import { Proposals, type ProposalError } from './proposals.js';
-import { spread, textHash } from '../model/text-hash.js';
+import { bucketOf, textHash } from '../model/text-hash.js';
 import { ReplicatedState } from './replicated-state.js';
 import type { ServiceLoads } from './state-snapshot.js';
 import { SessionService } from './session-service.js';
@@ -307,7 +307,7 @@
       electionTimeoutMs: timing.electionTimeoutMs,
       // Gives each replica different election timeouts; the generator requires a signed integer.
       seed: textHash(this.id) | 0,
-      snapshotEveryEntries: snapshotEveryEntries + spread(this.id, Math.ceil(snapshotEveryEntries / 4)),
+      snapshotEveryEntries: snapshotEveryEntries + bucketOf(this.id, Math.ceil(snapshotEveryEntries / 4)),
     };
     const ports = this.replicaPorts();
     this.replica = new Replica(this.id, this.runtime, this.storage, this.replicated, ports, options);
@@ -371,7 +371,7 @@
     this.crashDuties.run(this.runtime.nowMs());
     const { electionTimeoutMs } = this.settings.timing;
     // After a suspension of this process all members seem inactive, although they may not be.
-    if (!this.clockSkips.lately(electionTimeoutMs))
+    if (!this.clockSkips.skippedWithin(electionTimeoutMs))
       this.admission.submitNextChange(replica, this.runtime.nowMs());
   }
 
--- a/src/directory/directory-node.ts
+++ b/src/directory/directory-node.ts
@@ -13,7 +13,7 @@
 import type { PeerMessage } from '../control/peer-network.js';
 import { Proposals, type ProposalError } from '../control/proposals.js';
 import { formatAddress } from '../model/socket-address.js';
-import { spread, textHash } from '../model/text-hash.js';
+import { bucketOf, textHash } from '../model/text-hash.js';
 import { Err, Ok, type Result } from '../result.js';
 import type { CancelTimer, Connection, Listener, PeerHandlers, Runtime } from '../runtime/runtime.js';
 import { ClockSkips } from '../runtime/clock-skips.js';
@@ -353,7 +353,7 @@
       // A seed per replica gives different election timeouts; the generator takes a signed integer.
       seed: textHash(this.id) | 0,
       snapshotEveryEntries:
-        timing.snapshotEveryEntries + spread(this.id, Math.ceil(timing.snapshotEveryEntries / 4)),
+        timing.snapshotEveryEntries + bucketOf(this.id, Math.ceil(timing.snapshotEveryEntries / 4)),
     };
     this.replica = new Replica(this.id, runtime, storage, this, this.replicaPorts(), options);
     this.reporter.recovered(this.replica);
@@ -417,7 +417,7 @@
     if (this.leadingTerm !== replica.core.term) this.startLeading(replica.core.term);
     const { electionTimeoutMs } = this.options.settings.timing;
     // After this process was suspended, all peers seem to have been silent; that does not mean that they are lost.
-    if (!this.clockSkips.lately(electionTimeoutMs)) this.membership.proposeNextMembership(replica);
+    if (!this.clockSkips.skippedWithin(electionTimeoutMs)) this.membership.proposeNextMembership(replica);
     if (!this.durable) return;
     this.leader.expireLeases();
     this.rangePlanning.run(this.options.runtime.nowMs());
--- a/src/directory/operator-changes.ts
+++ b/src/directory/operator-changes.ts
@@ -1,7 +1,7 @@
 /** Operators' changes: each is proposed once however often it is sent, and each call is answered within its timeout. */
 import type { ProposalError, Proposals } from '../control/proposals.js';
 import { Err, type Result } from '../result.js';
-import { within } from '../runtime/pause.js';
+import { withTimeout } from '../runtime/pause.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { DirectoryCommand, DirectoryOutcome } from './directory-commands.js';
 
@@ -35,7 +35,7 @@
   /** Proposes a change, or joins the same change in flight. A change without an outcome in time may still be committed. */
   async propose(command: DirectoryCommand): Promise<ChangeOutcome> {
     const timeoutMs = ANSWER_TIMEOUT_MS + changedItems(command).length * ANSWER_TIMEOUT_PER_ITEM_MS;
-    const outcome = await within(this.runtime, this.proposeOrJoin(command, timeoutMs), timeoutMs);
+    const outcome = await withTimeout(this.runtime, this.proposeOrJoin(command, timeoutMs), timeoutMs);
     return outcome ?? Err({ kind: 'outcome-unknown' });
   }
 
--- a/src/link/link-connection.ts
+++ b/src/link/link-connection.ts
@@ -12,10 +12,10 @@
 } from './link-frame.js';
 
 /** While an answer is awaited: silence of 0.8 s costs a request most of its time, and stalls of a busy daemon are shorter. */
-const AWAITING: SilenceTiming = { askEveryMs: 250, limitMs: 800 };
+const AWAITING: SilenceTiming = { probeIntervalMs: 250, maxSilenceMs: 800 };
 
 /** While nothing is awaited: the connection must be known to work, or be gone, within 4 s. */
-const IDLE: SilenceTiming = { askEveryMs: 2_000, limitMs: 1_900 };
+const IDLE: SilenceTiming = { probeIntervalMs: 2_000, maxSilenceMs: 1_900 };
 
 const NO_BODY = Buffer.alloc(0);
 
@@ -45,7 +45,7 @@
   ) {
     this.silence = new SilenceWatch({
       nowMs,
-      ask: () => {
+      sendProbe: () => {
         this.send(FRAME_KIND.ping, 0, undefined);
       },
       onSilence: () => {
@@ -143,7 +143,7 @@
 
   private receive(chunk: Buffer): void {
     if (this.closed) return;
-    this.silence.heard();
+    this.silence.recordReceived();
     this.pacer?.noteReceived(chunk.length);
     const frames = this.decoder.push(chunk);
     if (frames.err) {
--- a/src/model/backend-life.ts
+++ b/src/model/backend-life.ts
@@ -4,7 +4,7 @@
  */
 
 /** One incarnation (process lifetime) of a back end. */
-export interface BackendLife {
+export interface BackendIncarnation {
   /** Id of the back end; other incarnations may have the same one. */
   readonly id: string;
   /** Start time of this incarnation, in ms of its machine's wall clock; null if it does not report one. */
@@ -14,13 +14,13 @@
 const SEPARATOR = '@';
 
 /** Returns the name of an incarnation: its id, followed by its start time if that is known. */
-export function lifeName({ id, bornMs }: BackendLife): string {
+export function incarnationName({ id, bornMs }: BackendIncarnation): string {
   if (bornMs !== null) return `${id}${SEPARATOR}${bornMs}`;
   return id.includes(SEPARATOR) ? `${id}${SEPARATOR}` : id;
 }
 
 /** Returns the back-end id in an incarnation's name; the back end expects this id in requests. */
-export function idOfLife(name: string): string {
+export function idOfIncarnation(name: string): string {
   const end = name.lastIndexOf(SEPARATOR);
   return end < 0 ? name : name.slice(0, end);
 }
--- a/src/model/text-hash.ts
+++ b/src/model/text-hash.ts
@@ -7,7 +7,7 @@
   return sum;
 }
 
-/** Assigns a name to one of `places` buckets, counted from 0; names are distributed evenly over them. */
-export function spread(name: string, places: number): number {
-  return textHash(name) % places;
+/** Assigns a name to one of `buckets` buckets, counted from 0; names are distributed evenly over them. */
+export function bucketOf(name: string, buckets: number): number {
+  return textHash(name) % buckets;
 }
--- a/src/router/run-guard.ts
+++ b/src/router/run-guard.ts
@@ -15,7 +15,7 @@
 import { pause } from '../runtime/pause.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { EventFields } from '../telemetry/event-log.js';
-import { listensAt } from '../transport/listen-check.js';
+import { isListening } from '../transport/listen-check.js';
 
 /** Longest wait for a permit, in ms: some runs of the same request elsewhere. */
 const LONGEST_PERMIT_WAIT_MS = 600;
@@ -153,7 +153,7 @@
       },
       interrupted,
       life: () => this.lifeOf(backend),
-      listens: async () => await listensAt(backend.address),
+      listens: async () => await isListening(backend.address),
       send: this.ports.send,
     });
     const watched = { interrupted, reporter };
--- a/src/runtime/clock-skips.ts
+++ b/src/runtime/clock-skips.ts
@@ -10,7 +10,7 @@
   constructor(private readonly clocks: Pick<Runtime, 'nowMs' | 'steadyMs'>) {}
 
   /** Whether time was skipped within the last `ms`; a skip is dated to the first call after it. */
-  lately(ms: number): boolean {
+  skippedWithin(ms: number): boolean {
     const steadyMs = this.clocks.steadyMs();
     const skippedMs = Math.round(this.clocks.nowMs() - steadyMs);
     if (skippedMs !== this.skippedMs) this.lastSkipMs = steadyMs;
--- a/src/runtime/pause.ts
+++ b/src/runtime/pause.ts
@@ -9,7 +9,7 @@
 }
 
 /** Resolves with the value of a promise, or with null if it takes longer than `ms`. */
-export async function within<T>(
+export async function withTimeout<T>(
   runtime: Pick<Runtime, 'after'>,
   promise: Promise<T>,
   ms: number,
--- a/src/sidecar/backend-presence.ts
+++ b/src/sidecar/backend-presence.ts
@@ -3,7 +3,7 @@
  * registration in the directory up to date.
  */
 import type { DirectoryRequest } from '../directory/directory-messages.js';
-import { lifeName, type BackendLife } from '../model/backend-life.js';
+import { incarnationName, type BackendIncarnation } from '../model/backend-life.js';
 import { pause } from '../runtime/pause.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { EventLog } from '../telemetry/event-log.js';
@@ -74,7 +74,7 @@
   async accepts(heartbeat: BackendHeartbeat): Promise<boolean> {
     if (heartbeat.condition === 'draining') this.recordLeave(heartbeat, 'heartbeat');
     if (await this.probe.isPresent(heartbeat)) return true;
-    const fields = { instance: lifeName(heartbeat), present: this.backend.life };
+    const fields = { instance: incarnationName(heartbeat), present: this.backend.life };
     this.ports.log.event('heartbeat-of-past-life', fields);
     return false;
   }
@@ -90,7 +90,7 @@
    * Processes the final message of an incarnation that leaves and sends no more heartbeats. It is binding even if
    * that incarnation is unknown here.
    */
-  async leave(reported: BackendLife): Promise<void> {
+  async leave(reported: BackendIncarnation): Promise<void> {
     const incarnation = await this.probe.resolveLeaving(reported);
     this.recordLeave(incarnation, 'goodbye');
     this.backend.leave(incarnation, this.ports.runtime.nowMs());
@@ -154,9 +154,9 @@
     this.ports.onRemoved();
   }
 
-  private recordLeave(incarnation: BackendLife, by: 'heartbeat' | 'goodbye'): void {
+  private recordLeave(incarnation: BackendIncarnation, by: 'heartbeat' | 'goodbye'): void {
     const { runtime, log } = this.ports;
-    const instance = lifeName(incarnation);
+    const instance = incarnationName(incarnation);
     const nowMs = runtime.nowMs();
     const isPresent = this.backend.life === instance;
     const isRepeated = isPresent && this.backend.leaving;
@@ -181,7 +181,7 @@
   private logStale({ id, bornMs, condition, sequence }: BackendHeartbeat): void {
     const { life, heartbeat } = this.backend;
     this.ports.log.event('heartbeat-ignored', {
-      instance: lifeName({ id, bornMs }),
+      instance: incarnationName({ id, bornMs }),
       condition,
       sequence,
       present: life,
--- a/src/sidecar/backend-run.ts
+++ b/src/sidecar/backend-run.ts
@@ -2,7 +2,7 @@
  * One request at the back end. A short answer is buffered until it is complete, so that a truncated one never reaches
  * the caller; a long one is streamed.
  */
-import { idOfLife } from '../model/backend-life.js';
+import { idOfIncarnation } from '../model/backend-life.js';
 import type { AnswerTiming, RequestHead, StatusHead } from '../link/link-messages.js';
 import type { RequestReply } from '../link/link-server.js';
 import type { ParsedAnswer } from './answer-parser.js';
@@ -109,7 +109,7 @@
     const replaced = new Set([dialect.deadlineMs, dialect.expectedInstance, 'content-length', 'expect']);
     const headers = endToEndHeaders(head.headers, replaced);
     headers.push(dialect.deadlineMs, String(Math.max(1, Math.floor(this.leftMs))));
-    headers.push(dialect.expectedInstance, idOfLife(head.instance));
+    headers.push(dialect.expectedInstance, idOfIncarnation(head.instance));
     const hadLength = headerValue(head.headers, 'content-length') !== null;
     const hadChunks = headerValue(head.headers, 'transfer-encoding') !== null;
     if (body.length > 0 || hadLength || hadChunks) headers.push('content-length', String(body.length));
--- a/src/sidecar/directory-client.ts
+++ b/src/sidecar/directory-client.ts
@@ -5,7 +5,7 @@
  */
 import type { DirectoryNotice, DirectoryRequest } from '../directory/directory-messages.js';
 import { parseAddress } from '../directory/replica-address.js';
-import { spread } from '../model/text-hash.js';
+import { bucketOf } from '../model/text-hash.js';
 import type { CancelTimer, Client, ClientIdentity, Runtime } from '../runtime/runtime.js';
 import type { EventLog } from '../telemetry/event-log.js';
 import type { DirectoryTable } from './directory-table.js';
@@ -73,7 +73,7 @@
     private readonly handlers: DirectoryClientHandlers,
   ) {
     this.addresses = [...seeds];
-    this.position = spread(identity.name, Math.max(1, seeds.length));
+    this.position = bucketOf(identity.name, Math.max(1, seeds.length));
     this.cancelCheck = runtime.every(CHECK_INTERVAL_MS, () => {
       this.check();
     });
--- a/src/sidecar/incarnation-probe.ts
+++ b/src/sidecar/incarnation-probe.ts
@@ -1,7 +1,7 @@
 /**
  * Probes the back end's address to determine which incarnation is there, where a heartbeat alone does not show it.
  */
-import type { BackendLife } from '../model/backend-life.js';
+import type { BackendIncarnation } from '../model/backend-life.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { BackendCalls, BackendIdentity } from './backend-report.js';
 import type { LocalBackend } from './local-backend.js';
@@ -30,7 +30,7 @@
    * its sender has ended and another incarnation has started; accepting it would end the registration of the
    * incarnation that is there. If the probe gets no answer, an incarnation with a recent heartbeat stays.
    */
-  async isPresent(incarnation: BackendLife): Promise<boolean> {
+  async isPresent(incarnation: BackendIncarnation): Promise<boolean> {
     const { runtime, backend, calls } = this.ports;
     const path = this.ports.healthPath();
     if (path === null || backend.hasSeen(incarnation)) return true;
@@ -68,7 +68,7 @@
    * incarnation of that id, unless an earlier incarnation had the same id and the probe reports the current one as
    * healthy: then the message is a delayed one of the earlier incarnation.
    */
-  async resolveLeaving(reported: BackendLife): Promise<BackendLife> {
+  async resolveLeaving(reported: BackendIncarnation): Promise<BackendIncarnation> {
     const { backend, calls } = this.ports;
     const { heartbeat } = backend;
     if (reported.bornMs !== null || heartbeat?.id !== reported.id) return reported;
@@ -80,6 +80,6 @@
 }
 
 /** Whether a reported identity matches an incarnation; fields that are not reported match any value. */
-function matchesIncarnation(identity: BackendIdentity, { id, bornMs }: BackendLife): boolean {
+function matchesIncarnation(identity: BackendIdentity, { id, bornMs }: BackendIncarnation): boolean {
   return (identity.id ?? id) === id && (identity.bornMs ?? bornMs) === bornMs;
 }
--- a/src/sidecar/invoked-grants.ts
+++ b/src/sidecar/invoked-grants.ts
@@ -4,7 +4,7 @@
  */
 import type { KeyRange } from '../directory/directory-state.js';
 import { overlaps, subtractSpan } from '../directory/key-ranges.js';
-import { idOfLife } from '../model/backend-life.js';
+import { idOfIncarnation } from '../model/backend-life.js';
 import type { CancelTimer } from '../runtime/runtime.js';
 import type { BackendCalls, GrantResult } from './backend-report.js';
 import { rangeName, ReleaseReporter, type KeyGrantPorts, type KeyGrants } from './key-grants.js';
@@ -198,7 +198,7 @@
     const holdMs = Math.min(this.ports.holdMs, this.ports.lease.deadlineMs - nowMs);
     const life = this.ports.instance();
     if (life === null || holdMs < MIN_HOLD_MS || this.sequenceAtSuspicion !== null) return;
-    void this.grant(record, { range, holdMs, id: idOfLife(life) }, nowMs);
+    void this.grant(record, { range, holdMs, id: idOfIncarnation(life) }, nowMs);
   }
 
   /** Resumes a range whose move was cancelled; the back end may have released it already. */
@@ -268,7 +268,7 @@
     if (instance === null) return;
     const calledMs = this.ports.runtime.steadyMs();
     record.callInFlight = true;
-    const handover = await this.calls.release(idOfLife(instance), range);
+    const handover = await this.calls.release(idOfIncarnation(instance), range);
     record.callInFlight = false;
     if (life !== this.life || !record.releasing) return;
     const expired = calledMs >= this.mayHoldUntil(range);
--- a/src/sidecar/local-backend.ts
+++ b/src/sidecar/local-backend.ts
@@ -3,7 +3,7 @@
  * restarted daemon knows neither the back end until the next heartbeat nor what the previous process acknowledged,
  * and assumes the worst case for both.
  */
-import { idOfLife, lifeName, type BackendLife } from '../model/backend-life.js';
+import { idOfIncarnation, incarnationName, type BackendIncarnation } from '../model/backend-life.js';
 import { AcknowledgedLeaves } from './acknowledged-leaves.js';
 import type { BackendHeartbeat } from './backend-report.js';
 
@@ -53,7 +53,7 @@
 
   /** Name of the current incarnation; null if none is known. */
   get life(): string | null {
-    return this.present === null ? null : lifeName(this.present);
+    return this.present === null ? null : incarnationName(this.present);
   }
 
   /** Newest heartbeat of the current incarnation; null if none is known. */
@@ -87,14 +87,14 @@
   }
 
   /** Whether an incarnation is the current one or a past one. */
-  hasSeen(incarnation: BackendLife): boolean {
-    const name = lifeName(incarnation);
+  hasSeen(incarnation: BackendIncarnation): boolean {
+    const name = incarnationName(incarnation);
     return this.life === name || this.pastIncarnations.has(name);
   }
 
   /** Whether an earlier incarnation had this id. */
   hadEarlierIncarnation(id: string): boolean {
-    return [...this.pastIncarnations].some((name) => idOfLife(name) === id);
+    return [...this.pastIncarnations].some((name) => idOfIncarnation(name) === id);
   }
 
   /**
@@ -103,8 +103,8 @@
    * time was counted from the first heartbeat after a restart, requests reached back ends 2,050 to 2,500 ms after
    * the acknowledgement, with a limit of 2,000 ms.
    */
-  recordLeave(leaving: BackendLife, nowMs: number): void {
-    const life = lifeName(leaving);
+  recordLeave(leaving: BackendIncarnation, nowMs: number): void {
+    const life = incarnationName(leaving);
     const mayBeRepeated = this.life !== life || !this.isFirstRecipient;
     const remainingMs = mayBeRepeated ? 0 : Math.max(0, this.drainMs - DRAIN_MARGIN_MS);
     this.acknowledgedLeaves.record(life, nowMs + remainingMs);
@@ -112,7 +112,7 @@
 
   /** Processes a heartbeat. A leave is binding even if the heartbeat is stale, because it is acknowledged. */
   recordHeartbeat(heartbeat: BackendHeartbeat, nowMs: number): HeartbeatOutcome {
-    const life = lifeName(heartbeat);
+    const life = incarnationName(heartbeat);
     if (heartbeat.condition === 'draining') this.recordLeave(heartbeat, nowMs);
     if (this.pastIncarnations.has(life) || this.isFromEarlierIncarnation(heartbeat, nowMs)) return 'stale';
     const isNew = this.life !== life;
@@ -129,8 +129,8 @@
    * Processes the final message of an incarnation, which sends no more heartbeats; delayed ones are ignored from
    * now on.
    */
-  leave(incarnation: BackendLife, nowMs: number): void {
-    const name = lifeName(incarnation);
+  leave(incarnation: BackendIncarnation, nowMs: number): void {
+    const name = incarnationName(incarnation);
     this.recordLeave(incarnation, nowMs);
     if (this.life === name) this.hasLeft = true;
     else this.addPastIncarnation(name);
--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -4,7 +4,7 @@
  */
 import type { BackendInstance } from '../directory/directory-state.js';
 import { LinkPacer } from '../link/link-pacer.js';
-import { lifeName, type BackendLife } from '../model/backend-life.js';
+import { incarnationName, type BackendIncarnation } from '../model/backend-life.js';
 import { formatAddress } from '../model/socket-address.js';
 import { Ok, type Result } from '../result.js';
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
@@ -237,7 +237,7 @@
    * Processes the final message of an incarnation that leaves and sends no more heartbeats. It is binding even if
    * that incarnation is unknown here.
    */
-  async leave(reported: BackendLife): Promise<void> {
+  async leave(reported: BackendIncarnation): Promise<void> {
     await this.presence.leave(reported);
     this.gateway.reevaluateWaiting();
   }
@@ -392,7 +392,7 @@
     const { heartbeat } = this.backend;
     if (heartbeat === null || this.backend.leaving || this.stoppingSinceMs !== null) return null;
     const { service, version } = heartbeat;
-    return { id: lifeName(heartbeat), service, version };
+    return { id: incarnationName(heartbeat), service, version };
   }
 
   private makeChooser(): BackendChooser {
--- a/src/transport/frame-codec.ts
+++ b/src/transport/frame-codec.ts
@@ -30,11 +30,11 @@
 
 /** Encodes a message as one frame. */
 export function encodeFrame(message: unknown): Buffer {
-  return frameOfText(writeText(message));
+  return encodeTextFrame(writeText(message));
 }
 
 /** Encodes a serialized message as one frame. */
-export function frameOfText(text: string): Buffer {
+export function encodeTextFrame(text: string): Buffer {
   return makeFrame(Buffer.from(text), 0);
 }
 
--- a/src/transport/listen-check.ts
+++ b/src/transport/listen-check.ts
@@ -6,7 +6,7 @@
 const LISTEN_CHECK_MS = 400;
 
 /** Whether any process listens at an address; only a refused connection counts as no, a timeout counts as yes. */
-export async function listensAt({ host, port }: SocketAddress): Promise<boolean> {
+export async function isListening({ host, port }: SocketAddress): Promise<boolean> {
   return await new Promise((resolve) => {
     const socket = connect({ host, port });
     const done = (listens: boolean): void => {
--- a/src/transport/message-connection.ts
+++ b/src/transport/message-connection.ts
@@ -16,7 +16,7 @@
 const PONG = { kind: 'transport-pong' } as const;
 
 /** A peer that has stopped reading or writing is detected within 2.5 s. */
-const SILENCE_TIMING: SilenceTiming = { askEveryMs: 500, limitMs: 2_000 };
+const SILENCE_TIMING: SilenceTiming = { probeIntervalMs: 500, maxSilenceMs: 2_000 };
 
 /** Callbacks to the owner of a connection. */
 export interface ConnectionHandlers {
@@ -35,7 +35,7 @@
   private closed = false;
   private readonly silence = new SilenceWatch({
     nowMs: clockMs,
-    ask: () => {
+    sendProbe: () => {
       this.send(PING);
     },
     onSilence: () => {
@@ -98,7 +98,7 @@
   private receive(chunk: Buffer): void {
     if (this.closed) return;
     this.bytesReceived += chunk.length;
-    this.silence.heard();
+    this.silence.recordReceived();
     const decoded = this.decoder.push(chunk);
     if (decoded.err) {
       this.close(`${decoded.val.kind}: ${decoded.val.detail}`);
--- a/src/transport/silence-watch.ts
+++ b/src/transport/silence-watch.ts
@@ -11,19 +11,19 @@
 /** Times after which a peer is probed and counts as silent, in ms. */
 export interface SilenceTiming {
   /** Interval between probes. */
-  readonly askEveryMs: number;
+  readonly probeIntervalMs: number;
   /**
    * Silence after which a probed peer counts as lost. If it is shorter than the probe interval, the peer is not probed
    * first: a connection that carried nothing for one interval is closed.
    */
-  readonly limitMs: number;
+  readonly maxSilenceMs: number;
 }
 
 /** Clock and callbacks of a watch. */
 export interface SilenceWatchPorts {
   nowMs(): number;
   /** Sends a probe to the peer. */
-  ask(): void;
+  sendProbe(): void;
   /** Called once when the peer counts as silent; the watch has then stopped. */
   onSilence(): void;
 }
@@ -42,7 +42,7 @@
   }
 
   /** Records that bytes were received. */
-  heard(): void {
+  recordReceived(): void {
     this.probed = false;
     this.receivedMs = this.ports.nowMs();
   }
@@ -52,9 +52,9 @@
     if (this.timing === timing) return;
     this.stop();
     this.timing = timing;
-    this.heard();
+    this.recordReceived();
     this.checkedMs = this.receivedMs;
-    this.cancelChecks = processIntervals.every(timing.askEveryMs, () => {
+    this.cancelChecks = processIntervals.every(timing.probeIntervalMs, () => {
       this.check(timing);
     });
   }
@@ -67,21 +67,21 @@
   }
 
   /** Checks the peer. After a stall of this process the measurement restarts, since the peer may not have been silent. */
-  private check({ askEveryMs, limitMs }: SilenceTiming): void {
+  private check({ probeIntervalMs, maxSilenceMs }: SilenceTiming): void {
     const nowMs = this.ports.nowMs();
-    const stalled = nowMs - this.checkedMs > askEveryMs + MIN_STALL_MS;
+    const stalled = nowMs - this.checkedMs > probeIntervalMs + MIN_STALL_MS;
     this.checkedMs = nowMs;
     if (stalled) this.receivedMs = nowMs;
     const silentMs = nowMs - this.receivedMs;
     // Silence of a peer that was not probed yet may only mean that this process's timer was late.
-    const isConclusive = this.probed || limitMs < askEveryMs;
-    if (silentMs > limitMs && isConclusive) {
+    const isConclusive = this.probed || maxSilenceMs < probeIntervalMs;
+    if (silentMs > maxSilenceMs && isConclusive) {
       this.stop();
       this.ports.onSilence();
       return;
     }
-    if (silentMs < askEveryMs / 2) return;
+    if (silentMs < probeIntervalMs / 2) return;
     this.probed = true;
-    this.ports.ask();
+    this.ports.sendProbe();
   }
 }
--- a/test/incidents/change-in-time.test.ts
+++ b/test/incidents/change-in-time.test.ts
@@ -38,7 +38,7 @@
   const sentMs = world.queue.nowMs;
   if (node === null) return answered;
   const calls = new OperatorCalls(node, CONTROL_PORT, new Set());
-  void calls.take({ method, path: '/config', headers: {}, body }).then(({ status }) => {
+  void calls.handle({ method, path: '/config', headers: {}, body }).then(({ status }) => {
     answered.status = status;
     answered.ms = world.queue.nowMs - sentMs;
   });
--- a/test/incidents/late-grants.test.ts
+++ b/test/incidents/late-grants.test.ts
@@ -15,7 +15,7 @@
 import type { FleetSpec } from '../../lab/sim/fleet/fleet-spec.js';
 import { FLEET_READY_MS, FleetWorld } from '../../lab/sim/fleet/fleet-world.js';
 import type { KeyRange } from '../../src/directory/directory-state.js';
-import { lifeName } from '../../src/model/backend-life.js';
+import { incarnationName } from '../../src/model/backend-life.js';
 
 const SERVICE = 'keyed';
 const SEEDS = [1, 2, 3, 4, 5, 6];
@@ -53,11 +53,11 @@
 function holderOf(world: FleetWorld): Holder {
   const [machine, another] = world.machines;
   if (machine?.backend == null || another?.backend == null) throw new Error('invariant broken: no back ends');
-  const owner = lifeName(machine.backend);
+  const owner = incarnationName(machine.backend);
   const ranges = world.directory.leader()?.state.ranges.get(SERVICE);
   const range = ranges?.find((known) => known.owner === owner);
   if (range === undefined) throw new Error('invariant broken: nobody owns keys');
-  return { machine, range, other: lifeName(another.backend) };
+  return { machine, range, other: incarnationName(another.backend) };
 }
 
 /** Holds up the next call to a back end, and lets time pass until it is under way. */
--- a/test/incidents/lease-beside-an-older-table.test.ts
+++ b/test/incidents/lease-beside-an-older-table.test.ts
@@ -14,8 +14,8 @@
 import { FLEET_READY_MS, FleetWorld } from '../../lab/sim/fleet/fleet-world.js';
 import type { SimReplica } from '../../lab/sim/sim-directory.js';
 import type { GrantMode, KeyRange } from '../../src/directory/directory-state.js';
-import { lifeName } from '../../src/model/backend-life.js';
-import { spread } from '../../src/model/text-hash.js';
+import { incarnationName } from '../../src/model/backend-life.js';
+import { bucketOf } from '../../src/model/text-hash.js';
 
 const SERVICE = 'keyed';
 const SEEDS = [1, 2, 3, 4, 5, 6];
@@ -50,7 +50,7 @@
 
 function lifeAt({ backend }: FleetMachine): string {
   if (backend === null) throw new Error('invariant broken: no back end');
-  return lifeName(backend);
+  return incarnationName(backend);
 }
 
 function rangesOf(world: FleetWorld): readonly KeyRange[] {
@@ -61,7 +61,7 @@
 function findMove(world: FleetWorld): Move {
   const { replicas } = world.directory;
   for (const machine of world.machines) {
-    const replica = replicas[spread(machine.name, replicas.length)];
+    const replica = replicas[bucketOf(machine.name, replicas.length)];
     const range = rangesOf(world).find(({ owner }) => owner === lifeAt(machine));
     const other = world.machines.find((known) => known !== machine);
     if (replica === undefined || replica.node?.leading === true) continue;
--- a/test/incidents/move-called-off.test.ts
+++ b/test/incidents/move-called-off.test.ts
@@ -12,7 +12,7 @@
 import type { FleetSpec } from '../../lab/sim/fleet/fleet-spec.js';
 import { FleetWorld } from '../../lab/sim/fleet/fleet-world.js';
 import type { GrantMode, KeyRange } from '../../src/directory/directory-state.js';
-import { lifeName } from '../../src/model/backend-life.js';
+import { incarnationName } from '../../src/model/backend-life.js';
 
 const SERVICE = 'keyed';
 const SEEDS = [1, 2, 3, 4, 5, 6];
@@ -32,7 +32,7 @@
 
 function lifeAt({ backend }: FleetMachine): string {
   if (backend === null) throw new Error('invariant broken: no back end');
-  return lifeName(backend);
+  return incarnationName(backend);
 }
 
 function rangesOf(world: FleetWorld): readonly KeyRange[] {
--- a/test/model/backend-life.test.ts
+++ b/test/model/backend-life.test.ts
@@ -1,8 +1,8 @@
 /** Names of back-end incarnations are unique and contain the id. */
 import test from 'ava';
-import { idOfLife, lifeName, type BackendLife } from '../../src/model/backend-life.js';
+import { idOfIncarnation, incarnationName, type BackendIncarnation } from '../../src/model/backend-life.js';
 
-const INCARNATIONS: readonly BackendLife[] = [
+const INCARNATIONS: readonly BackendIncarnation[] = [
   { id: 'one', bornMs: null },
   { id: 'one', bornMs: 1 },
   { id: 'one', bornMs: 2 },
@@ -12,6 +12,6 @@
 ];
 
 test('incarnations have different names, and each name yields the id', (t) => {
-  t.is(new Set(INCARNATIONS.map(lifeName)).size, INCARNATIONS.length);
-  for (const incarnation of INCARNATIONS) t.is(idOfLife(lifeName(incarnation)), incarnation.id);
+  t.is(new Set(INCARNATIONS.map(incarnationName)).size, INCARNATIONS.length);
+  for (const incarnation of INCARNATIONS) t.is(idOfIncarnation(incarnationName(incarnation)), incarnation.id);
 });
--- a/test/platform/operator-calls.test.ts
+++ b/test/platform/operator-calls.test.ts
@@ -137,12 +137,12 @@
   for (const leading of [true, false]) {
     const replica = new Replica(leading);
     const calls = new OperatorCalls(replica, 8_306, new Set());
-    t.is((await calls.take(sent)).status, leading ? 200 : 307, 'sent for the first time');
+    t.is((await calls.handle(sent)).status, leading ? 200 : 307, 'sent for the first time');
     replica.proposed.length = 0;
     if (command.kind === 'configure-revision') replica.accepted.add(command.digest);
-    t.is((await calls.take(sent)).status, 200, 'sent again');
+    t.is((await calls.handle(sent)).status, 200, 'sent again');
     t.deepEqual(replica.proposed, []);
-    t.is((await calls.take({ ...sent, headers: { 'if-match': '2' } })).status, leading ? 200 : 307);
+    t.is((await calls.handle({ ...sent, headers: { 'if-match': '2' } })).status, leading ? 200 : 307);
   }
 });
 
@@ -151,13 +151,15 @@
   const log: EventLog = { ...SILENT_EVENT_LOG, event: (_name, fields) => logged.push(fields) };
   const leader = new Replica(true);
   const calls = new OperatorCalls(leader, 8_306, new Set(), NO_LATENCIES, log);
-  await calls.take(call('PATCH', { version: 3, upsert: {}, remove: {} }, '1'));
-  await calls.take(call('GET', ''));
+  await calls.handle(call('PATCH', { version: 3, upsert: {}, remove: {} }, '1'));
+  await calls.handle(call('GET', ''));
   t.deepEqual(logged, []);
-  await calls.take(call('PUT', '{"version":3,"rou', '0'));
+  await calls.handle(call('PUT', '{"version":3,"rou', '0'));
   leader.accepts = false;
-  await calls.take(call('PATCH', { version: 3, upsert: {}, remove: {} }, '1'));
-  await new OperatorCalls(new Replica(false), 8_306, new Set(), NO_LATENCIES, log).take(call('PUT', '', '0'));
+  await calls.handle(call('PATCH', { version: 3, upsert: {}, remove: {} }, '1'));
+  await new OperatorCalls(new Replica(false), 8_306, new Set(), NO_LATENCIES, log).handle(
+    call('PUT', '', '0'),
+  );
   t.deepEqual(
     logged.map(({ status }) => status),
     [400, 503, 307],
@@ -168,7 +170,7 @@
 
 test('a follower redirects a change without parsing it', async (t) => {
   const calls = new OperatorCalls(new Replica(false), 8_306, new Set());
-  t.is((await calls.take(call('PUT', '{"version":3,"rou', '0'))).status, 307);
+  t.is((await calls.handle(call('PUT', '{"version":3,"rou', '0'))).status, 307);
 });
 
 test('a long change is parsed in several turns of the event loop', async (t) => {
@@ -199,7 +201,7 @@
   test(`evacuation: ${method} ${path} is answered ${status}`, async (t) => {
     const replica = new Replica(true);
     const calls = new OperatorCalls(replica, 8_306, new Set(['z-1']));
-    t.is((await calls.take({ method, path, headers: {}, body: '' })).status, status);
+    t.is((await calls.handle({ method, path, headers: {}, body: '' })).status, status);
     const evacuated = method === 'POST';
     const command = { kind: 'set-evacuation', zone: 'z-1', evacuated } as const;
     t.deepEqual(replica.proposed, status === 200 ? [command] : []);
@@ -211,8 +213,8 @@
   replica.accepts = false;
   const zones = new Set(['z-1']);
   const begin: Call = { method: 'POST', path: '/evacuation/z-1', headers: {}, body: '' };
-  t.is((await new OperatorCalls(replica, 8_306, zones).take(begin)).status, 503);
-  const answer = await new OperatorCalls(new Replica(false), 8_306, zones).take(begin);
+  t.is((await new OperatorCalls(replica, 8_306, zones).handle(begin)).status, 503);
+  const answer = await new OperatorCalls(new Replica(false), 8_306, zones).handle(begin);
   t.is(answer.status, 307);
   t.is(answer.headers?.['location'], 'http://10.0.0.2:8306/evacuation/z-1');
 });
@@ -230,7 +232,7 @@
   test(`quarantine: ${method} ${path} is answered ${status}`, async (t) => {
     const replica = new Replica(true);
     const calls = new OperatorCalls(replica, 8_306, new Set());
-    t.is((await calls.take({ method, path, headers: {}, body: '' })).status, status);
+    t.is((await calls.handle({ method, path, headers: {}, body: '' })).status, status);
     t.is(replica.proposed[0]?.kind ?? null, kind);
   });
 }
--- a/test/sim/fences-of-ended-back-ends.test.ts
+++ b/test/sim/fences-of-ended-back-ends.test.ts
@@ -5,7 +5,7 @@
 import test from 'ava';
 import type { FleetSpec } from '../../lab/sim/fleet/fleet-spec.js';
 import { FLEET_READY_MS, FleetWorld } from '../../lab/sim/fleet/fleet-world.js';
-import { lifeName } from '../../src/model/backend-life.js';
+import { incarnationName } from '../../src/model/backend-life.js';
 import type { EventLog } from '../../src/telemetry/event-log.js';
 
 const SPEC: FleetSpec = {
@@ -49,7 +49,7 @@
     await world.runUntil(FLEET_READY_MS + CALM_MS);
     const [machine, other] = world.machines;
     if (machine?.backend == null || other?.backend == null) throw new Error('invariant broken: no back ends');
-    const owner = lifeName(machine.backend);
+    const owner = incarnationName(machine.backend);
     const range = world.directory
       .leader()
       ?.state.ranges.get('keyed')
@@ -57,7 +57,7 @@
     if (range === undefined) throw new Error('invariant broken: it owns nothing');
     machine.endBackend();
     await world.runUntil(world.queue.nowMs + RENEWED_MS);
-    world.beginMove('keyed', range.from, range.to, lifeName(other.backend));
+    world.beginMove('keyed', range.from, range.to, incarnationName(other.backend));
     await world.runUntil(world.queue.nowMs + MOVING_MS);
     t.true(raised.count <= MOST_RAISED, `seed ${seed}: ${raised.count} raised`);
   }
--- a/test/transport/silence-watch.test.ts
+++ b/test/transport/silence-watch.test.ts
@@ -7,7 +7,7 @@
 import { SilenceWatch } from '../../src/transport/silence-watch.js';
 import { freePort } from '../loopback.js';
 
-const TIMING = { askEveryMs: 20, limitMs: 50 };
+const TIMING = { probeIntervalMs: 20, maxSilenceMs: 50 };
 const TOKEN = 'token-of-the-tests-0123';
 const IDENTITY = { role: 'control', name: 'one', zone: 'z', token: TOKEN } as const;
 
@@ -16,7 +16,7 @@
   await new Promise<void>((resolve) => {
     const watch = new SilenceWatch({
       nowMs: () => performance.now(),
-      ask: () => (probes += 1),
+      sendProbe: () => (probes += 1),
       onSilence: resolve,
     });
     watch.watch(TIMING);
@@ -30,11 +30,11 @@
   await new Promise<void>((resolve) => {
     const watch = new SilenceWatch({
       nowMs: () => performance.now() + lateMs,
-      ask: () => (probes += 1),
+      sendProbe: () => (probes += 1),
       onSilence: resolve,
     });
     watch.watch(TIMING);
-    lateMs = 3 * TIMING.limitMs;
+    lateMs = 3 * TIMING.maxSilenceMs;
   });
   t.true(probes > 0);
 });
@@ -45,9 +45,9 @@
   await new Promise<void>((resolve) => {
     const watch = new SilenceWatch({
       nowMs: () => performance.now(),
-      ask: () => {
+      sendProbe: () => {
         probes += 1;
-        watch.heard();
+        watch.recordReceived();
         if (probes === 20) resolve();
       },
       onSilence: () => {
@@ -55,7 +55,7 @@
         resolve();
       },
     });
-    watch.watch({ ...TIMING, limitMs: 60_000 });
+    watch.watch({ ...TIMING, maxSilenceMs: 60_000 });
     t.teardown(() => {
       watch.stop();
     });
