--- a/src/quarantine/run-permits.ts
+++ b/src/quarantine/run-permits.ts
@@ -4,7 +4,7 @@
  */
 import type { Runtime } from '../runtime/runtime.js';
 import type { RunNotice, RunRequest } from './crash-messages.js';
-import type { BackendIncarnation } from './end-reporter.js';
+import type { VersionedIncarnation } from './end-reporter.js';
 
 /** Interval in ms at which a permit is requested again: about the duration of a run that holds it. */
 const PERMIT_RETRY_INTERVAL_MS = 120;
@@ -40,7 +40,7 @@
   }
 
   /** Requests a permit, unless it is held or was requested within the retry interval. */
-  requestPermit(fingerprint: string, { id, version }: BackendIncarnation): void {
+  requestPermit(fingerprint: string, { id, version }: VersionedIncarnation): void {
     if (this.holds(fingerprint, id) || !this.isDue(this.requestedAtMs, fingerprint, PERMIT_RETRY_INTERVAL_MS))
       return;
     this.ports.send({ kind: 'run-permit', fingerprint, life: id, version });
--- a/src/router/run-guard.ts
+++ b/src/router/run-guard.ts
@@ -6,7 +6,7 @@
 import { sessionIncarnation } from '../control/control-state.js';
 import type { SocketAddress } from '../model/socket-address.js';
 import type { RunNotice, RunRequest } from '../quarantine/crash-messages.js';
-import { CrashReporter, type BackendIncarnation } from '../quarantine/end-reporter.js';
+import { CrashReporter, type VersionedIncarnation } from '../quarantine/end-reporter.js';
 import { InterruptedRuns } from '../quarantine/interrupted-runs.js';
 import type { RequestClassification, QuarantineView } from '../quarantine/quarantine-view.js';
 import { runOutcomeOf } from '../quarantine/run-answer.js';
@@ -15,7 +15,7 @@
 import { pause } from '../runtime/pause.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { EventFields } from '../telemetry/event-log.js';
-import { listensAt } from '../transport/listen-check.js';
+import { isListening } from '../transport/listen-check.js';
 
 /** Maximum wait for a permit, in ms: long enough for a few runs of the same request elsewhere. */
 const MAX_PERMIT_WAIT_MS = 600;
@@ -157,7 +157,7 @@
       },
       interrupted,
       life: () => this.incarnationOf(backend),
-      listens: async () => await listensAt(backend.address),
+      listens: async () => await isListening(backend.address),
       send: this.ports.send,
     });
     const monitor = { interrupted, reporter };
@@ -165,7 +165,7 @@
     return monitor;
   }
 
-  private incarnationOf({ name, service }: GuardedBackend): BackendIncarnation | null {
+  private incarnationOf({ name, service }: GuardedBackend): VersionedIncarnation | null {
     const session = this.ports.sessionOf(name);
     return session === null ? null : { id: sessionIncarnation(name, session), service, version: NO_VERSION };
   }
--- a/test/runtime/clock-skips.test.ts
+++ b/test/runtime/clock-skips.test.ts
@@ -1,16 +1,16 @@
-/** What a leader believes of others' silence after its machine was suspended. */
+/** Detection of recent suspensions, after which a leader must not rely on the silence of its peers. */
 import test from 'ava';
 import { ClockSkips } from '../../src/runtime/clock-skips.js';
 
-test('a clock that has skipped time says so for a while', (t) => {
+test('a skip of the clock is reported for the given period', (t) => {
   let steadyMs = 1_000;
   let skippedMs = 0;
   const skips = new ClockSkips({ steadyMs: () => steadyMs, nowMs: () => steadyMs + skippedMs });
-  t.false(skips.lately(500));
+  t.false(skips.skippedWithin(500));
   skippedMs = 4_000;
-  t.true(skips.lately(500));
+  t.true(skips.skippedWithin(500));
   steadyMs += 499;
-  t.true(skips.lately(500));
+  t.true(skips.skippedWithin(500));
   steadyMs += 1;
-  t.false(skips.lately(500));
+  t.false(skips.skippedWithin(500));
 });
