--- a/lab/sim/fleet/key-troubles.ts
+++ b/lab/sim/fleet/key-troubles.ts
@@ -3,7 +3,7 @@
  * beside moves of keys.
  */
 import type { KeyRange } from '../../../src/directory/directory-state.js';
-import { incarnationName } from '../../../src/model/backend-life.js';
+import { incarnationName } from '../../../src/model/backend-incarnation.js';
 import type { Random } from '../../random.js';
 import type { SimReplica } from '../sim-directory.js';
 import type { FleetMachine } from './fleet-machine.js';
--- a/src/agent/agent-node.ts
+++ b/src/agent/agent-node.ts
@@ -7,7 +7,7 @@
 import { Ok, type Result } from '../result.js';
 import type { Logger } from '../telemetry/logger.js';
 import { ControlWatch } from '../control-client/control-watch.js';
-import { SessionChannel } from '../control-client/session-channel.js';
+import { SessionChannel } from '../control-client/leader-channel.js';
 import { WatchedTable } from '../control-client/watched-table.js';
 import { nodeRuntime } from '../runtime/node-runtime.js';
 import type { CancelTimer, ClientIdentity, Runtime, Traffic } from '../runtime/runtime.js';
--- a/src/backend-contract/grant-messages.ts
+++ b/src/backend-contract/grant-messages.ts
@@ -6,7 +6,7 @@
  * same machine, so both read the same clock, and a message that was delayed by a frozen process cannot
  * extend a grant.
  */
-import { incarnationName } from '../model/backend-life.js';
+import { incarnationName } from '../model/backend-incarnation.js';
 import { z } from 'zod';
 
 /** Path prefix of the contract API. */
--- a/src/control-client/leader-calls.ts
+++ b/src/control-client/leader-client.ts
@@ -5,7 +5,7 @@
 import type { NamedAddress } from '../config/daemon-settings.js';
 import type { ControlNotice, DaemonRequest } from '../control/daemon-messages.js';
 import type { CancelTimer, ClientIdentity, Runtime } from '../runtime/runtime.js';
-import { SessionChannel } from './session-channel.js';
+import { SessionChannel } from './leader-channel.js';
 
 /** Time in ms without requests after which the connection is closed. */
 const IDLE_TIMEOUT_MS = 10_000;
--- a/src/control/control-node.ts
+++ b/src/control/control-node.ts
@@ -26,7 +26,7 @@
 import type { Hello } from '../transport/hello.js';
 import type { CommandOutcome, ControlCommand } from './commands.js';
 import type { ControlState } from './control-state.js';
-import { CrashRecordMaintenance } from '../quarantine/crash-duties.js';
+import { CrashRecordMaintenance } from '../quarantine/crash-record-maintenance.js';
 import { DaemonGateway } from './daemon-gateway.js';
 import { LeaderDuties } from './leader-duties.js';
 import { LeaseTable } from './lease-table.js';
--- a/src/directory/directory-node.ts
+++ b/src/directory/directory-node.ts
@@ -23,7 +23,7 @@
 import { ChangeFeed } from './change-feed.js';
 import type { DirectoryCommand, DirectoryOutcome } from './directory-commands.js';
 import { RangePlanningLoop } from './range-planning-loop.js';
-import { CrashRecordMaintenance } from '../quarantine/crash-duties.js';
+import { CrashRecordMaintenance } from '../quarantine/crash-record-maintenance.js';
 import { DirectoryLeader } from './directory-leader.js';
 import { applyDirectoryCommand } from './directory-machine.js';
 import { directoryRequestSchema, readRelayMessage } from './directory-messages.js';
--- a/src/quarantine/run-permits.ts
+++ b/src/quarantine/run-permits.ts
@@ -4,7 +4,7 @@
  */
 import type { Runtime } from '../runtime/runtime.js';
 import type { RunNotice, RunRequest } from './crash-messages.js';
-import type { VersionedIncarnation } from './end-reporter.js';
+import type { VersionedIncarnation } from './crash-reporter.js';
 
 /** Interval in ms at which a permit is requested again: about the duration of a run that holds it. */
 const PERMIT_RETRY_INTERVAL_MS = 120;
--- a/src/router/router-node.ts
+++ b/src/router/router-node.ts
@@ -8,7 +8,7 @@
 import { Histogram, type Registry } from 'prom-client';
 import type { RouterSettings } from '../config/daemon-settings.js';
 import { ControlWatch } from '../control-client/control-watch.js';
-import { LeaderCalls } from '../control-client/leader-calls.js';
+import { LeaderCalls } from '../control-client/leader-client.js';
 import { Err, Ok, type Result } from '../result.js';
 import { nodeRuntime } from '../runtime/node-runtime.js';
 import type { Logger } from '../telemetry/logger.js';
--- a/src/router/run-guard.ts
+++ b/src/router/run-guard.ts
@@ -6,10 +6,10 @@
 import { sessionIncarnation } from '../control/control-state.js';
 import type { SocketAddress } from '../model/socket-address.js';
 import type { RunNotice, RunRequest } from '../quarantine/crash-messages.js';
-import { CrashReporter, type VersionedIncarnation } from '../quarantine/end-reporter.js';
+import { CrashReporter, type VersionedIncarnation } from '../quarantine/crash-reporter.js';
 import { InterruptedRuns } from '../quarantine/interrupted-runs.js';
 import type { RequestClassification, QuarantineView } from '../quarantine/quarantine-view.js';
-import { runOutcomeOf } from '../quarantine/run-answer.js';
+import { runOutcomeOf } from '../quarantine/run-outcome.js';
 import { requestFingerprint, type IdentifiedRequest } from '../quarantine/request-fingerprint.js';
 import { RunPermits } from '../quarantine/run-permits.js';
 import { pause } from '../runtime/pause.js';
--- a/src/sidecar/backend-presence.ts
+++ b/src/sidecar/backend-presence.ts
@@ -3,7 +3,7 @@
  * registration in the directory up to date.
  */
 import type { DirectoryRequest } from '../directory/directory-messages.js';
-import { incarnationName, type BackendIncarnation } from '../model/backend-life.js';
+import { incarnationName, type BackendIncarnation } from '../model/backend-incarnation.js';
 import { pause } from '../runtime/pause.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { EventLog } from '../telemetry/event-log.js';
--- a/src/sidecar/backend-run.ts
+++ b/src/sidecar/backend-run.ts
@@ -2,7 +2,7 @@
  * One request at the back end. A short answer is buffered until it is complete, so that a truncated one never reaches
  * the caller; a long one is streamed.
  */
-import { idOfIncarnation } from '../model/backend-life.js';
+import { idOfIncarnation } from '../model/backend-incarnation.js';
 import type { AnswerTiming, RequestHead, StatusHead } from '../link/link-messages.js';
 import type { RequestReply } from '../link/link-server.js';
 import type { ParsedAnswer } from './answer-parser.js';
--- a/src/sidecar/crash-watch.ts
+++ b/src/sidecar/crash-watch.ts
@@ -1,10 +1,10 @@
 /** Crash guard of a sidecar, based on its quarantine table, the directory and the state of the local back end. */
 import type { DirectoryNotice, DirectoryRequest } from '../directory/directory-messages.js';
-import { CrashReporter, type VersionedIncarnation } from '../quarantine/end-reporter.js';
+import { CrashReporter, type VersionedIncarnation } from '../quarantine/crash-reporter.js';
 import { InterruptedRuns, type InterruptedRun } from '../quarantine/interrupted-runs.js';
 import type { RequestClassification, QuarantineView } from '../quarantine/quarantine-view.js';
 import type { IdentifiedRequest } from '../quarantine/request-fingerprint.js';
-import { runOutcomeOf } from '../quarantine/run-answer.js';
+import { runOutcomeOf } from '../quarantine/run-outcome.js';
 import { RunPermits } from '../quarantine/run-permits.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { EventLog } from '../telemetry/event-log.js';
--- a/src/sidecar/incarnation-probe.ts
+++ b/src/sidecar/incarnation-probe.ts
@@ -1,7 +1,7 @@
 /**
  * Probes the back end's address to determine which incarnation is there, where a heartbeat alone does not show it.
  */
-import type { BackendIncarnation } from '../model/backend-life.js';
+import type { BackendIncarnation } from '../model/backend-incarnation.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { BackendCalls, BackendIdentity } from './backend-report.js';
 import type { LocalBackend } from './local-backend.js';
--- a/src/sidecar/invoked-grants.ts
+++ b/src/sidecar/invoked-grants.ts
@@ -4,7 +4,7 @@
  */
 import type { KeyRange } from '../directory/directory-state.js';
 import { overlaps, subtractSpan } from '../directory/key-ranges.js';
-import { idOfIncarnation } from '../model/backend-life.js';
+import { idOfIncarnation } from '../model/backend-incarnation.js';
 import type { CancelTimer } from '../runtime/runtime.js';
 import type { BackendCalls, GrantResult } from './backend-report.js';
 import { rangeName, ReleaseReporter, type KeyGrantPorts, type KeyGrants } from './key-grants.js';
--- a/src/sidecar/local-backend.ts
+++ b/src/sidecar/local-backend.ts
@@ -3,7 +3,7 @@
  * restarted daemon knows neither the back end until the next heartbeat nor what the previous process acknowledged,
  * and assumes the worst case for both.
  */
-import { idOfIncarnation, incarnationName, type BackendIncarnation } from '../model/backend-life.js';
+import { idOfIncarnation, incarnationName, type BackendIncarnation } from '../model/backend-incarnation.js';
 import { AcknowledgedLeaves } from './acknowledged-leaves.js';
 import type { BackendHeartbeat } from './backend-report.js';
 
--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -4,7 +4,7 @@
  */
 import type { BackendInstance } from '../directory/directory-state.js';
 import { LinkPacer } from '../link/link-pacer.js';
-import { incarnationName, type BackendIncarnation } from '../model/backend-life.js';
+import { incarnationName, type BackendIncarnation } from '../model/backend-incarnation.js';
 import { formatAddress } from '../model/socket-address.js';
 import { Ok, type Result } from '../result.js';
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
@@ -24,7 +24,7 @@
 import { CrashWatch } from './crash-watch.js';
 import { DirectoryClient } from './directory-client.js';
 import { DirectoryTable } from './directory-table.js';
-import type { VersionedIncarnation } from '../quarantine/end-reporter.js';
+import type { VersionedIncarnation } from '../quarantine/crash-reporter.js';
 import { KeyOwnership } from './key-ownership.js';
 import { LeaseKeeper } from './lease-keeper.js';
 import { LoadMeter } from './load-meter.js';
--- a/test/incidents/late-grants.test.ts
+++ b/test/incidents/late-grants.test.ts
@@ -15,7 +15,7 @@
 import type { FleetSpec } from '../../lab/sim/fleet/fleet-spec.js';
 import { FLEET_READY_MS, FleetWorld } from '../../lab/sim/fleet/fleet-world.js';
 import type { KeyRange } from '../../src/directory/directory-state.js';
-import { incarnationName } from '../../src/model/backend-life.js';
+import { incarnationName } from '../../src/model/backend-incarnation.js';
 
 const SERVICE = 'keyed';
 const SEEDS = [1, 2, 3, 4, 5, 6];
--- a/test/incidents/lease-beside-an-older-table.test.ts
+++ b/test/incidents/lease-beside-an-older-table.test.ts
@@ -14,7 +14,7 @@
 import { FLEET_READY_MS, FleetWorld } from '../../lab/sim/fleet/fleet-world.js';
 import type { SimReplica } from '../../lab/sim/sim-directory.js';
 import type { GrantMode, KeyRange } from '../../src/directory/directory-state.js';
-import { incarnationName } from '../../src/model/backend-life.js';
+import { incarnationName } from '../../src/model/backend-incarnation.js';
 import { bucketOf } from '../../src/model/text-hash.js';
 
 const SERVICE = 'keyed';
--- a/test/incidents/move-called-off.test.ts
+++ b/test/incidents/move-called-off.test.ts
@@ -12,7 +12,7 @@
 import type { FleetSpec } from '../../lab/sim/fleet/fleet-spec.js';
 import { FleetWorld } from '../../lab/sim/fleet/fleet-world.js';
 import type { GrantMode, KeyRange } from '../../src/directory/directory-state.js';
-import { incarnationName } from '../../src/model/backend-life.js';
+import { incarnationName } from '../../src/model/backend-incarnation.js';
 
 const SERVICE = 'keyed';
 const SEEDS = [1, 2, 3, 4, 5, 6];
--- a/test/model/backend-life.test.ts
+++ b/test/model/backend-incarnation.test.ts
@@ -1,6 +1,10 @@
 /** Names of back-end incarnations are unique and contain the id. */
 import test from 'ava';
-import { idOfIncarnation, incarnationName, type BackendIncarnation } from '../../src/model/backend-life.js';
+import {
+  idOfIncarnation,
+  incarnationName,
+  type BackendIncarnation,
+} from '../../src/model/backend-incarnation.js';
 
 const INCARNATIONS: readonly BackendIncarnation[] = [
   { id: 'one', bornMs: null },
--- a/test/sim/fences-of-ended-back-ends.test.ts
+++ b/test/sim/fences-of-ended-back-ends.test.ts
@@ -5,7 +5,7 @@
 import test from 'ava';
 import type { FleetSpec } from '../../lab/sim/fleet/fleet-spec.js';
 import { FLEET_READY_MS, FleetWorld } from '../../lab/sim/fleet/fleet-world.js';
-import { incarnationName } from '../../src/model/backend-life.js';
+import { incarnationName } from '../../src/model/backend-incarnation.js';
 import type { EventLog } from '../../src/telemetry/event-log.js';
 
 const SPEC: FleetSpec = {
