--- a/src/agent/agent-node.ts
+++ b/src/agent/agent-node.ts
@@ -7,7 +7,7 @@
 import { Ok, type Result } from '../result.js';
 import type { Logger } from '../telemetry/logger.js';
 import { ControlWatch } from '../control-client/control-watch.js';
-import { SessionChannel } from '../control-client/leader-channel.js';
+import { LeaderChannel } from '../control-client/leader-channel.js';
 import { WatchedTable } from '../control-client/watched-table.js';
 import { nodeRuntime } from '../runtime/node-runtime.js';
 import type { CancelTimer, ClientIdentity, Runtime, Traffic } from '../runtime/runtime.js';
@@ -54,7 +54,7 @@
   readonly grants: GrantManager;
   private readonly lease = new LeaseHolder();
   private readonly backend: BackendPort;
-  private readonly channel: SessionChannel;
+  private readonly channel: LeaderChannel;
   private readonly watch: ControlWatch;
   private readonly receiver: HandoverReceiver;
   private readonly sender: HandoverSender;
@@ -167,8 +167,8 @@
     for (const cancel of this.timers.splice(0)) cancel();
   }
 
-  private openChannel(identity: ClientIdentity): SessionChannel {
-    return new SessionChannel(this.runtime, identity, this.settings.control, {
+  private openChannel(identity: ClientIdentity): LeaderChannel {
+    return new LeaderChannel(this.runtime, identity, this.settings.control, {
       onNotice: (notice) => {
         this.receiveNotice(notice);
       },
--- a/src/control-client/leader-channel.ts
+++ b/src/control-client/leader-channel.ts
@@ -32,7 +32,7 @@
 const NO_LEADER_ANSWERS_BEFORE_SWITCH = 4;
 
 /** Callbacks of a channel. */
-export interface SessionChannelHandlers {
+export interface LeaderChannelHandlers {
   onNotice(notice: ControlNotice): void;
   /** A connection was opened; this replica may not know earlier reports. */
   onOpen(): void;
@@ -41,7 +41,7 @@
 }
 
 /** Connection that follows the leading replica. */
-export class SessionChannel {
+export class LeaderChannel {
   private readonly link: ReplicaLink;
   private readonly cancelSilenceCheck: CancelTimer;
   private lastNoticeMs: number;
@@ -55,7 +55,7 @@
     private readonly runtime: Runtime,
     identity: ClientIdentity,
     control: readonly NamedAddress[],
-    private readonly handlers: SessionChannelHandlers,
+    private readonly handlers: LeaderChannelHandlers,
   ) {
     this.lastNoticeMs = runtime.nowMs();
     const options = { firstPosition: 0, switchDelayMs: SWITCH_DELAY_MS };
--- a/src/control-client/leader-client.ts
+++ b/src/control-client/leader-client.ts
@@ -5,7 +5,7 @@
 import type { NamedAddress } from '../config/daemon-settings.js';
 import type { ControlNotice, DaemonRequest } from '../control/daemon-messages.js';
 import type { CancelTimer, ClientIdentity, Runtime } from '../runtime/runtime.js';
-import { SessionChannel } from './leader-channel.js';
+import { LeaderChannel } from './leader-channel.js';
 
 /** Time in ms without requests after which the connection is closed. */
 const IDLE_TIMEOUT_MS = 10_000;
@@ -14,8 +14,8 @@
 const MAX_QUEUED_REQUESTS = 64;
 
 /** Client for the current leader. */
-export class LeaderCalls {
-  private channel: SessionChannel | null = null;
+export class LeaderClient {
+  private channel: LeaderChannel | null = null;
   private queue: DaemonRequest[] = [];
   private cancelIdle: CancelTimer | null = null;
 
@@ -42,8 +42,8 @@
     this.channel = null;
   }
 
-  private open(): SessionChannel {
-    return new SessionChannel(this.runtime, this.identity, this.control, {
+  private open(): LeaderChannel {
+    return new LeaderChannel(this.runtime, this.identity, this.control, {
       onNotice: this.onNotice,
       onOpen: () => undefined,
       onMayLead: () => {
--- a/src/control/control-node.ts
+++ b/src/control/control-node.ts
@@ -87,7 +87,7 @@
   private readonly proposals: Proposals;
   private readonly loads = new LoadTable();
   private readonly duties: LeaderDuties;
-  private readonly crashDuties: CrashRecordMaintenance;
+  private readonly crashRecordMaintenance: CrashRecordMaintenance;
   private readonly admission: MembershipAdmission;
   private readonly clockSkips: ClockSkips;
   private readonly listener: Listener;
@@ -127,7 +127,7 @@
       this.loads,
       () => runtime.nowMs(),
     );
-    this.crashDuties = new CrashRecordMaintenance(
+    this.crashRecordMaintenance = new CrashRecordMaintenance(
       () => this.state.crashRecords,
       (command) => void this.proposals.propose(command),
     );
@@ -368,7 +368,7 @@
     if (this.leadingTerm !== replica.core.term) this.startLeading(replica.core.term);
     this.sessions.expire();
     this.duties.run(this.runtime.nowMs());
-    this.crashDuties.proposeDueCommands(this.runtime.nowMs());
+    this.crashRecordMaintenance.proposeDueCommands(this.runtime.nowMs());
     const { electionTimeoutMs } = this.settings.timing;
     // After a suspension of this process all members seem inactive, although they may not be.
     if (!this.clockSkips.skippedWithin(electionTimeoutMs))
@@ -379,7 +379,7 @@
     this.leadingTerm = term;
     this.sessions.startLeading();
     this.duties.startLeading();
-    this.crashDuties.startLeading();
+    this.crashRecordMaintenance.startLeading();
   }
 
   // ---- connections
--- a/src/directory/directory-node.ts
+++ b/src/directory/directory-node.ts
@@ -83,7 +83,7 @@
   private readonly changes: OperatorChanges;
   private readonly confirmations: LeadershipConfirmations;
   private readonly rangePlanning: RangePlanningLoop;
-  private readonly crashDuties: CrashRecordMaintenance;
+  private readonly crashRecordMaintenance: CrashRecordMaintenance;
   private readonly leader: DirectoryLeader;
   private readonly listener: Listener;
   private readonly dialer: ReplicaDialer;
@@ -124,7 +124,7 @@
         this.options.log.event('ranges-planned', { service, ...plan });
       },
     );
-    this.crashDuties = new CrashRecordMaintenance(
+    this.crashRecordMaintenance = new CrashRecordMaintenance(
       () => this.currentState.crashRecords,
       (command) => void this.proposals.propose(command),
     );
@@ -421,7 +421,7 @@
     if (!this.durable) return;
     this.leader.expireLeases();
     this.rangePlanning.run(this.options.runtime.nowMs());
-    this.crashDuties.proposeDueCommands(this.options.runtime.nowMs());
+    this.crashRecordMaintenance.proposeDueCommands(this.options.runtime.nowMs());
   }
 
   private startLeading(term: number): void {
@@ -429,7 +429,7 @@
     this.membership.startLeading();
     this.leader.startLeading();
     this.rangePlanning.startLeading();
-    this.crashDuties.startLeading();
+    this.crashRecordMaintenance.startLeading();
   }
 
   private sendWatcherHeartbeat(): void {
--- a/src/quarantine/crash-records.ts
+++ b/src/quarantine/crash-records.ts
@@ -105,13 +105,13 @@
 }
 
 /** Returns the record with a crash of an incarnation added; the same object if the crash is already recorded. */
-export function withCrash(record: CrashRecord, version: string, life: string): CrashRecord {
+export function withCrash(record: CrashRecord, version: string, incarnation: string): CrashRecord {
   const versionRecord = record.versions.find((one) => one.version === version) ?? emptyVersionRecord(version);
-  if (versionRecord.lives.includes(life)) return record;
+  if (versionRecord.lives.includes(incarnation)) return record;
   const updated = {
     ...versionRecord,
     outlived: 0,
-    lives: [...versionRecord.lives, life].slice(-MAX_INCARNATIONS_PER_VERSION),
+    lives: [...versionRecord.lives, incarnation].slice(-MAX_INCARNATIONS_PER_VERSION),
   };
   return { ...record, versions: replaceVersion(record.versions, updated) };
 }
--- a/src/quarantine/crash-reporter.ts
+++ b/src/quarantine/crash-reporter.ts
@@ -99,13 +99,13 @@
   }
 
   private async checkBackend(): Promise<void> {
-    const life = this.ports.life();
-    const listens = life === null || (await this.ports.listens());
+    const incarnation = this.ports.life();
+    const listens = incarnation === null || (await this.ports.listens());
     if (!listens) await pause(this.ports.runtime, CONNECTION_SETTLE_MS);
     this.checkInFlight = null;
     if (listens) return;
     const runs = this.ports.interrupted.takeCrashRuns(-Infinity);
-    if (runs.length > 0) await this.report(life, runs);
+    if (runs.length > 0) await this.report(incarnation, runs);
   }
 
   private async report(life: VersionedIncarnation, runs: readonly InterruptedRun[]): Promise<void> {
--- a/src/quarantine/run-permits.ts
+++ b/src/quarantine/run-permits.ts
@@ -20,7 +20,7 @@
   readonly runtime: Runtime;
   readonly send: (request: RunRequest) => boolean;
   /** Whether an incarnation of a back end is still present to use a permit. */
-  readonly isPresent: (life: string) => boolean;
+  readonly isPresent: (incarnation: string) => boolean;
   /** Called when a permit was granted. */
   readonly onPermit: (fingerprint: string) => void;
 }
@@ -35,8 +35,8 @@
   constructor(private readonly ports: RunPermitPorts) {}
 
   /** Whether an incarnation of a back end holds the permit for a request. */
-  holds(fingerprint: string, life: string): boolean {
-    return this.incarnationByPermit.get(fingerprint) === life;
+  holds(fingerprint: string, incarnation: string): boolean {
+    return this.incarnationByPermit.get(fingerprint) === incarnation;
   }
 
   /** Requests a permit, unless it is held or was requested within the retry interval. */
--- a/src/router/router-node.ts
+++ b/src/router/router-node.ts
@@ -8,7 +8,7 @@
 import { Histogram, type Registry } from 'prom-client';
 import type { RouterSettings } from '../config/daemon-settings.js';
 import { ControlWatch } from '../control-client/control-watch.js';
-import { LeaderCalls } from '../control-client/leader-client.js';
+import { LeaderClient } from '../control-client/leader-client.js';
 import { Err, Ok, type Result } from '../result.js';
 import { nodeRuntime } from '../runtime/node-runtime.js';
 import type { Logger } from '../telemetry/logger.js';
@@ -32,7 +32,7 @@
     private readonly application: NestFastifyApplication,
     private readonly state: RouterState,
     private readonly watch: ControlWatch,
-    private readonly leaderCalls: LeaderCalls,
+    private readonly leaderClient: LeaderClient,
     private readonly logger: Logger,
   ) {}
 
@@ -46,7 +46,7 @@
     const requestTime = requestTimeHistogram(registry);
     const { name, zone, control } = settings;
     const identity = { role: 'router', name, zone, token } as const;
-    const leaderCalls: LeaderCalls = new LeaderCalls(nodeRuntime, identity, control, (notice) => {
+    const leaderClient: LeaderClient = new LeaderClient(nodeRuntime, identity, control, (notice) => {
       if (notice.kind === 'end-recorded' || notice.kind === 'run-permitted') state.guard.receive(notice);
     });
     const state = new RouterState(
@@ -56,7 +56,7 @@
       },
       {
         runtime: nodeRuntime,
-        send: (request) => leaderCalls.send(request),
+        send: (request) => leaderClient.send(request),
         log: (event, fields) => {
           logger.warn(event, fields);
         },
@@ -77,7 +77,7 @@
       );
     }
     logger.info('router listens', settings.listen);
-    return Ok(new RouterNode(application, state, watch, leaderCalls, logger));
+    return Ok(new RouterNode(application, state, watch, leaderClient, logger));
   }
 
   /** Stops accepting connections, lets requests in flight finish for at most `drainMs`, then stops. */
@@ -96,7 +96,7 @@
     await Promise.race([closed, pause(DRAIN_POLL_INTERVAL_MS)]);
     server.closeAllConnections();
     this.watch.stop();
-    this.leaderCalls.stop();
+    this.leaderClient.stop();
     await this.state.backends.close();
   }
 }
--- a/src/router/run-guard.ts
+++ b/src/router/run-guard.ts
@@ -109,9 +109,9 @@
   answered(run: GuardedRun, backend: GuardedBackend, statusCode: number): void {
     this.watched(backend).interrupted.handleAnswer(this.ports.runtime.nowMs());
     const { fingerprint, record } = this.quarantineStatus(run.request);
-    const verdict = runOutcomeOf(statusCode);
-    if (verdict !== null && record !== null && fingerprint !== null) {
-      this.permits.reportCompletion(fingerprint, NO_VERSION, verdict === 'good');
+    const runOutcome = runOutcomeOf(statusCode);
+    if (runOutcome !== null && record !== null && fingerprint !== null) {
+      this.permits.reportCompletion(fingerprint, NO_VERSION, runOutcome === 'good');
     }
     this.releaseClearance(run.clearance, true);
   }
--- a/src/sidecar/crash-watch.ts
+++ b/src/sidecar/crash-watch.ts
@@ -56,9 +56,9 @@
   answered(request: IdentifiedRequest, statusCode: number): void {
     this.runs.handleAnswer(this.ports.runtime.nowMs());
     const { record, fingerprint } = this.classify(request);
-    const verdict = runOutcomeOf(statusCode);
-    if (record === null || fingerprint === null || verdict === null) return;
-    this.runPermits.reportCompletion(fingerprint, this.version, verdict === 'good');
+    const runOutcome = runOutcomeOf(statusCode);
+    if (record === null || fingerprint === null || runOutcome === null) return;
+    this.runPermits.reportCompletion(fingerprint, this.version, runOutcome === 'good');
   }
 
   /** See `CrashGuard`. */
--- a/src/sidecar/invoked-grants.ts
+++ b/src/sidecar/invoked-grants.ts
@@ -196,9 +196,9 @@
     const renewed = nowMs < record.heldUntilMs && nowMs - record.sentMs < RENEW_AFTER_MS;
     if (record.callInFlight || renewed) return;
     const holdMs = Math.min(this.ports.holdMs, this.ports.lease.deadlineMs - nowMs);
-    const life = this.ports.instance();
-    if (life === null || holdMs < MIN_HOLD_MS || this.sequenceAtSuspicion !== null) return;
-    void this.grant(record, { range, holdMs, id: idOfIncarnation(life) }, nowMs);
+    const incarnation = this.ports.instance();
+    if (incarnation === null || holdMs < MIN_HOLD_MS || this.sequenceAtSuspicion !== null) return;
+    void this.grant(record, { range, holdMs, id: idOfIncarnation(incarnation) }, nowMs);
   }
 
   /** Resumes a range whose move was cancelled; the back end may have released it already. */
@@ -305,9 +305,14 @@
     this.records.delete(rangeName(record.range));
     const from = Math.max(range.from, record.range.from);
     const to = Math.min(range.to, record.range.to);
-    const leaving = { ...record.range, from, to };
-    this.records.set(rangeName(leaving), { ...record, range: leaving, callInFlight: false, releasing: true });
-    for (const kept of subtractSpan(record.range, range)) this.recordRemainder(record, kept);
+    const released = { ...record.range, from, to };
+    this.records.set(rangeName(released), {
+      ...record,
+      range: released,
+      callInFlight: false,
+      releasing: true,
+    });
+    for (const part of subtractSpan(record.range, range)) this.recordRemainder(record, part);
   }
 
   /** Adds a record for the remaining part of a split range. The part may be held for as long as the whole range. */
--- a/src/sidecar/local-backend.ts
+++ b/src/sidecar/local-backend.ts
@@ -104,18 +104,18 @@
    * the acknowledgement, with a limit of 2,000 ms.
    */
   recordLeave(leaving: BackendIncarnation, nowMs: number): void {
-    const life = incarnationName(leaving);
-    const mayBeRepeated = this.life !== life || !this.isFirstRecipient;
+    const name = incarnationName(leaving);
+    const mayBeRepeated = this.life !== name || !this.isFirstRecipient;
     const remainingMs = mayBeRepeated ? 0 : Math.max(0, this.drainMs - DRAIN_MARGIN_MS);
-    this.acknowledgedLeaves.record(life, nowMs + remainingMs);
+    this.acknowledgedLeaves.record(name, nowMs + remainingMs);
   }
 
   /** Processes a heartbeat. A leave is binding even if the heartbeat is stale, because it is acknowledged. */
   recordHeartbeat(heartbeat: BackendHeartbeat, nowMs: number): HeartbeatOutcome {
-    const life = incarnationName(heartbeat);
+    const name = incarnationName(heartbeat);
     if (heartbeat.condition === 'draining') this.recordLeave(heartbeat, nowMs);
-    if (this.pastIncarnations.has(life) || this.isFromEarlierIncarnation(heartbeat, nowMs)) return 'stale';
-    const isNew = this.life !== life;
+    if (this.pastIncarnations.has(name) || this.isFromEarlierIncarnation(heartbeat, nowMs)) return 'stale';
+    const isNew = this.life !== name;
     if (!isNew && heartbeat.sequence <= (this.present?.sequence ?? 0)) return 'stale';
     if (isNew) this.startIncarnation(heartbeat, nowMs);
     this.present = heartbeat;
