--- a/src/agent/load-report.ts
+++ b/src/agent/load-report.ts
@@ -38,7 +38,7 @@
     for (const [shard, requests] of load) this.counts.set(shard, (this.counts.get(shard) ?? 0) + requests);
   }
 
-  /** Discards what was reported, since another control replica may lead that does not know the rates. */
+  /** Discards the reported rates so that they are sent again: another control replica may lead now and lack them. */
   discardReported(): void {
     this.reported.clear();
   }
--- a/src/consensus/election-timer.ts
+++ b/src/consensus/election-timer.ts
@@ -25,9 +25,9 @@
   }
 
   /**
-   * Resets the deadline while no leader has been heard since the process started: after a power loss of the whole
-   * cluster there is no leader to wait for. A live leader has one heartbeat interval to be heard; if it is missed,
-   * every replica that hears the leader refuses the pre-vote. The spread is long compared with the approximately
+   * Resets the deadline while no message of a leader has been received since the process started: after a power loss of
+   * the whole cluster there is no leader to wait for. A live leader has one heartbeat interval to send one; if it is
+   * missed, every replica in contact with the leader refuses the pre-vote. The spread is long compared with the approximately
    * 10 ms that an election takes.
    */
   restartForFirstElection(nowMs: number): void {
--- a/src/control-client/control-watch.ts
+++ b/src/control-client/control-watch.ts
@@ -1,6 +1,6 @@
 /**
  * Keeps a daemon's table up to date from one control replica at a time. Switches to the next replica if the
- * current one is behind this daemon, knows no leader or falls silent; meanwhile the last table remains in use.
+ * current one is behind this daemon, has no leader or sends nothing; meanwhile the last table remains in use.
  */
 import type { NamedAddress } from '../config/daemon-settings.js';
 import type { WatchScope } from '../control/changes.js';
@@ -13,7 +13,7 @@
 /** Delay before connecting to another replica, in ms. */
 const SWITCH_DELAY_MS = 200;
 
-/** Time in ms without a notice after which the replica is switched: three heartbeats of a replica that hears a leader. */
+/** Time in ms without a notice after which the replica is switched: three heartbeat intervals of a replica with a leader. */
 const SILENCE_TIMEOUT_MS = 3_000;
 
 /** Interval between checks for a silent replica, in ms. */
--- a/src/control-client/leader-channel.ts
+++ b/src/control-client/leader-channel.ts
@@ -25,7 +25,7 @@
 /** Interval between checks for a silent replica, in ms. */
 const SILENCE_CHECK_INTERVAL_MS = 100;
 
-/** Delay before requests are sent again to a replica that knows no leader, in ms. */
+/** Delay before requests are sent again to a replica without a known leader, in ms. */
 const NO_LEADER_RETRY_MS = 100;
 
 /** Answers without a leader after which another replica is tried: the current one may be partitioned from the others. */
@@ -34,7 +34,7 @@
 /** Callbacks of a channel. */
 export interface LeaderChannelHandlers {
   onNotice(notice: ControlNotice): void;
-  /** A connection was opened; this replica may not know earlier reports. */
+  /** A connection was opened; this replica may lack earlier reports. */
   onOpen(): void;
   /** The replica may be the leader by now: requests that wait for a leader should be sent. */
   onMayLead(): void;
--- a/src/control/control-node.ts
+++ b/src/control/control-node.ts
@@ -181,7 +181,7 @@
     return this.replica;
   }
 
-  /** Whether this replica recently heard a leader and held all committed entries, so that reads are not stale. */
+  /** Whether this replica was recently in contact with a leader and held all committed entries: its reads are not stale. */
   get isCurrent(): boolean {
     if (this.replica === null) return false;
     const { core } = this.replica;
--- a/src/control/daemon-messages.ts
+++ b/src/control/daemon-messages.ts
@@ -112,7 +112,7 @@
       readonly previousIndex: number;
       readonly changes: readonly WireChange[];
     }
-  /** Heartbeat of a replica that hears a leader; `index` is that of the latest published change. */
+  /** Heartbeat of a replica in contact with a leader; `index` is that of the latest published change. */
   | { readonly kind: 'watch-alive'; readonly index: number }
   | { readonly kind: 'watch-refused'; readonly reason: 'behind' | 'no-leader' }
   | RunNotice;
--- a/src/control/session-service.ts
+++ b/src/control/session-service.ts
@@ -160,7 +160,7 @@
     this.propose(toClose);
   }
 
-  /** Proposes to close sessions. From then on they must never be renewed, whatever the outcome of the proposal. */
+  /** Proposes to close sessions. From then on they must never be renewed, regardless of the proposal's outcome. */
   private propose(sessions: readonly number[]): void {
     for (const session of sessions) this.closingSessions.add(session);
     void this.proposals.propose({ kind: 'close-sessions', sessions, wallMs: this.ports.wallMs() });
--- a/src/directory/directory-node.ts
+++ b/src/directory/directory-node.ts
@@ -176,7 +176,7 @@
     return this.options.runtime.nowMs() - this.replica.core.upToDateMs < staleMs;
   }
 
-  /** Address of the leader known to this replica; null when it knows none. */
+  /** Address of the leader known to this replica; null if there is none. */
   get leaderAddress(): string | null {
     const leader = this.replica?.core.leader ?? null;
     return leader === null ? null : replicaName(leader);
@@ -210,7 +210,7 @@
     return await this.changes.propose(command);
   }
 
-  /** Whether this replica knows that the change with this digest was committed. */
+  /** Whether the state of this replica records the change with this digest as accepted. */
   hasAccepted(digest: string): boolean {
     return this.currentState.accepted.some((change) => change.digest === digest);
   }
--- a/src/link/link-load.ts
+++ b/src/link/link-load.ts
@@ -7,7 +7,7 @@
 /** Weight of a window of `WINDOW_MS` in the exponentially weighted moving average; longer windows weigh more. */
 const EWMA_WINDOW_WEIGHT = 0.3;
 
-/** Minimum share of the link that counts as available for paced frames, whatever the other traffic. */
+/** Minimum share of the link that counts as available for paced frames, regardless of other traffic. */
 const MIN_AVAILABLE_SHARE = 0.3;
 
 /** Load of one network link that does not pass through its pacer. */
--- a/src/link/link-server.ts
+++ b/src/link/link-server.ts
@@ -66,7 +66,7 @@
 
   /**
    * Stops listening and ends every connection with a goodbye. To be called only when no request is being executed any
-   * more: the goodbye tells peers that requests without an answer were not executed, so that they send them elsewhere,
+   * more: peers take the goodbye as proof that requests without an answer were not executed, and send them elsewhere,
    * including those that must not be executed twice.
    */
   close(): void {
--- a/src/quarantine/crash-commands.ts
+++ b/src/quarantine/crash-commands.ts
@@ -17,7 +17,7 @@
   type CrashRecords,
 } from './crash-records.js';
 
-/** Maximum number of records that daemons need not know, and of records that they must; the oldest are evicted first. */
+/** Maximum numbers of records that are not sent to daemons and of those that are; the oldest are evicted first. */
 const MAX_UNWATCHED_RECORDS = 2_048;
 const MAX_WATCHED_RECORDS = 512;
 
--- a/src/quarantine/crash-messages.ts
+++ b/src/quarantine/crash-messages.ts
@@ -30,7 +30,7 @@
   version: z.string(),
 });
 
-/** Releases a permit; `begun` tells whether its run may have begun. */
+/** Releases a permit; `begun` states whether its run may have begun. */
 export const permitReleasedSchema = z.object({
   kind: z.literal('permit-released'),
   fingerprint: z.string(),
--- a/src/quarantine/crash-reporter.ts
+++ b/src/quarantine/crash-reporter.ts
@@ -1,7 +1,7 @@
 /**
- * Detects whether the back end beside this daemon crashed when runs were interrupted, and reports the crash to the leader
- * until it is recorded. Callers are answered only afterwards, so that a retry of the request that caused the crash reaches
- * daemons that know of it.
+ * Detects whether the daemon's back end crashed when runs were interrupted, and reports the crash to the leader until it
+ * is recorded. Callers are answered only afterwards, so that the daemons that receive a retry of the request have the
+ * record already.
  */
 import type { CrashedRun } from './crash-commands.js';
 import type { RunNotice, RunRequest } from './crash-messages.js';
--- a/src/quarantine/run-permits.ts
+++ b/src/quarantine/run-permits.ts
@@ -58,7 +58,7 @@
     this.ports.onPermit(fingerprint);
   }
 
-  /** Releases the permit for a request; `begun` tells whether its run may have begun. */
+  /** Releases the permit for a request; `begun` states whether its run may have begun. */
   release(fingerprint: string, begun: boolean): void {
     const life = this.incarnationByPermit.get(fingerprint);
     this.incarnationByPermit.delete(fingerprint);
--- a/src/router/request-router.ts
+++ b/src/router/request-router.ts
@@ -209,7 +209,7 @@
 
   /**
    * Reports the result of an attempt to the guard. Resolves only after the end of a back end is recorded, since the
-   * caller retries as soon as it is told of the failure and other routers must know of the suspect by then.
+   * caller retries as soon as it receives the failure, and other routers must have the record of the suspect by then.
    */
   private async reportToGuard(
     routed: RoutedRequest,
--- a/src/router/run-guard.ts
+++ b/src/router/run-guard.ts
@@ -23,7 +23,7 @@
 /** Interval between checks for an awaited permit, in ms. */
 const PERMIT_POLL_INTERVAL_MS = 20;
 
-/** Back ends behind a router report no software version, so a session after a fix cannot be told from any other. */
+/** Back ends behind a router report no software version, so a fixed version cannot be distinguished from earlier ones. */
 const NO_VERSION = '';
 
 /** Dependencies of the guard. */
--- a/src/sidecar/answer-parser.ts
+++ b/src/sidecar/answer-parser.ts
@@ -21,7 +21,7 @@
   /** Returns whether the answer has no body, regardless of its headers. */
   onHeaders(answer: ParsedAnswer): boolean;
   onBody(chunk: Buffer): void;
-  /** `surplus` tells whether the last chunk contains bytes beyond the end of the answer. */
+  /** `surplus` states whether the last chunk contains bytes beyond the end of the answer. */
   onComplete(surplus: boolean): void;
 }
 
--- a/src/sidecar/backend-gateway.ts
+++ b/src/sidecar/backend-gateway.ts
@@ -65,9 +65,9 @@
   /** Limits the request rate while the back end is cold. */
   readonly coldLimit: ColdStartLimit;
   readonly guard: CrashGuard;
-  /** Id of the present incarnation; null until the back end has registered. */
+  /** Id of the present incarnation; null before its first heartbeat, and until it is known whether it leaves. */
   readonly instance: () => string | null;
-  /** Whether this daemon has only just started, so that its back end may not have registered yet. */
+  /** Whether this daemon has only just started, so that the first heartbeat may still be on the way. */
   readonly awaitsBackend: () => boolean;
   /** Time in ms from which requests are refused because the back end leaves or the daemon stops; infinite otherwise. */
   readonly closesAtMs: () => number;
@@ -112,7 +112,7 @@
   readonly lateWaitLimiter = new LateWaitLimiter();
   readonly suspects: SuspectScheduler;
   private readonly reporter: RunReporter;
-  /** Requests that wait for the back end to register, or for their key to be granted. */
+  /** Requests that wait for the back end's first heartbeat, or for their key to be granted. */
   private readonly waiting = new Set<GatewayRequest>();
   private readonly running = new Set<GatewayRequest>();
   private readonly circuitBreaker = new CircuitBreaker();
@@ -158,7 +158,7 @@
     this.admission.resize(slots);
   }
 
-  /** Returns the load of the back end; null until it has registered. */
+  /** Returns the load of the back end; null while no incarnation of it is known. */
   status(): StatusHead | null {
     const instance = this.ports.instance();
     if (instance === null) return null;
@@ -210,7 +210,7 @@
     };
   }
 
-  /** Returns the time in ms for which a request may wait for its key, or for the back end to register. */
+  /** Returns the time in ms for which a request may wait for its key, or for the back end's first heartbeat. */
   private maxReadinessWaitMs(head: RequestHead): number {
     const claim = this.forecast.claimOf(head, null);
     const meanMs = this.forecast.workMs(head.route);
@@ -221,7 +221,7 @@
     return Math.min(Math.max(0, head.remainingMs - meanMs), waitMs);
   }
 
-  /** Resets what is specific to an incarnation: broken runs of the previous one say nothing about the new one. */
+  /** Resets the state of the previous incarnation: its broken runs are no evidence about the new one. */
   startIncarnation(): void {
     this.circuitBreaker.reset();
   }
@@ -339,7 +339,7 @@
         this.start(request);
       },
       expire: () => {
-        // An immediate refusal leaves the caller time to retry; a request that has waited or is a retry gains nothing.
+        // An immediate refusal leaves the caller time to retry. After a wait, or for a retry, it would be of no use.
         if (waits || head.spentMs > 0) this.applyLate(request);
         else this.refuse(request, 'busy');
       },
@@ -391,8 +391,8 @@
   }
 
   /**
-   * Reports the expected slot time as load on arrival rather than on completion, so that an overloaded back end is not
-   * taken for one that is merely fully used.
+   * Reports the expected slot time as load on arrival rather than on completion, so that an overloaded back end can be
+   * distinguished from one that is fully used.
    */
   private recordOfferedLoad(request: GatewayRequest, meanMs: number): void {
     if (!policyIsOn('offered-load') || request.offeredMs > 0) return;
@@ -437,7 +437,7 @@
     request.run.start();
   }
 
-  /** Whether the request was quarantined or became a suspect while it waited, so that it must not run beside others. */
+  /** Whether the request was quarantined or became a suspect while it waited, so that it must not run now. */
   private isRestrictedByCrashRecord({ identity, suspect }: GatewayRequest): boolean {
     const { stage } = this.ports.guard.classify(identity);
     return stage === 'quarantined' || (stage === 'suspect' && suspect === null);
@@ -478,7 +478,7 @@
     this.admission.leave(outcome.kind === 'answered' ? usedMs : Math.max(usedMs, this.admission.serviceMs));
     const { suspect } = request;
     if (suspect === null) return;
-    // The permit is released only when it is known whether this back end has crashed; then another daemon may run it.
+    // The permit is released only after a crash here would have been recorded: then another daemon may run the suspect.
     this.reporter.afterEndCheck(outcome, () => {
       this.suspects.onRunEnded(suspect);
     });
--- a/src/sidecar/backend-presence.ts
+++ b/src/sidecar/backend-presence.ts
@@ -169,8 +169,8 @@
   }
 
   /**
-   * Reports the leave of an incarnation that this process does not know. It may be registered by the previous
-   * process, and would be sent requests by other daemons.
+   * Reports the leave of an incarnation that is not the current one. The previous process may have registered it, and
+   * other daemons would continue to send requests to it.
    */
   private reportLeaveToDirectory(id: string): void {
     const known = this.ports.table.instance(id);
--- a/src/sidecar/backend-run.ts
+++ b/src/sidecar/backend-run.ts
@@ -248,5 +248,5 @@
   }
 }
 
-/** Headers that are set anew in the answer to the caller. */
+/** Headers of the back end's answer that are replaced in the answer to the caller. */
 const REPLACED_HEADERS: ReadonlySet<string> = new Set(['content-length']);
--- a/src/sidecar/circuit-breaker.ts
+++ b/src/sidecar/circuit-breaker.ts
@@ -11,7 +11,7 @@
   private consecutiveFailures = 0;
   private lastProbeMs = -Infinity;
 
-  /** Closes the circuit for a new incarnation: broken runs of the previous one say nothing about it. */
+  /** Closes the circuit for a new incarnation: broken runs of the previous one are no evidence about it. */
   reset(): void {
     this.consecutiveFailures = 0;
   }
--- a/src/sidecar/cold-start-limit.ts
+++ b/src/sidecar/cold-start-limit.ts
@@ -31,7 +31,7 @@
   readonly slack: number;
 }
 
-/** Rate limiter for one cold back end. Times are ms of the monotonic clock: only elapsed time matters. */
+/** Rate limiter for one cold back end. Times are ms of the steady clock, which counts only elapsed time. */
 export class ColdStartLimit {
   private coldStart: ColdStart | null = null;
   private coldUntilMs = -Infinity;
--- a/src/sidecar/directory-client.ts
+++ b/src/sidecar/directory-client.ts
@@ -160,7 +160,7 @@
   }
 
   /**
-   * Switches replicas on a timeout. A process that was stalled itself cannot tell whether the replica was silent,
+   * Switches replicas on a timeout. A process that was stalled itself cannot determine whether the replica was silent,
    * so a late check is skipped while a replica is followed.
    */
   private check(): void {
--- a/src/sidecar/invoked-grants.ts
+++ b/src/sidecar/invoked-grants.ts
@@ -1,6 +1,6 @@
 /**
- * Grants and revokes keys by calls to the back end. A call without an answer may still be applied later, so its
- * duration counts as granted, but no request is sent to the back end because of it.
+ * Grants and revokes keys by calls to the back end. A call without an answer may still be applied later: the back end
+ * counts as a possible holder for the call's duration, but receives no requests by it.
  */
 import type { KeyRange } from '../directory/directory-state.js';
 import { overlaps, subtractSpan } from '../directory/key-ranges.js';
@@ -15,10 +15,10 @@
 /** Age in ms at which a grant is renewed. */
 const RENEW_AFTER_MS = 1_500;
 
-/** Minimum duration of a grant in ms. */
+/** Minimum duration of a grant in ms; nothing is granted under a lease that ends earlier. */
 const MIN_HOLD_MS = 300;
 
-/** Gap in ms between two checks after which another incarnation may have started at the address unnoticed. */
+/** Gap in ms between two checks in which another incarnation may have started at the address unnoticed. */
 const MAX_CHECK_GAP_MS = 500;
 
 /** Fraction of a grant's duration for which the back end is trusted to hold it. */
@@ -61,6 +61,7 @@
   private readonly records = new Map<string, GrantRecord>();
   private readonly reporter: ReleaseReporter;
   private readonly cancelTimer: CancelTimer;
+  /** Incremented when the incarnation ends or changes: results of calls to an earlier one are ignored. */
   private life = 0;
   private lastCheckMs: number;
   /** Whether the back end's identity must be probed before anything is granted. */
@@ -252,7 +253,7 @@
     if (!record.callInFlight) void this.callRelease(record, range);
   }
 
-  /** Whether the range may be released; if not, takes the next action towards that. */
+  /** Whether the range may be released; if not, first grants it or raises its fence as required. */
   private prepareRelease(range: KeyRange, nowMs: number): boolean {
     const record = this.recordOf(range);
     if (record.releasing) return true;
@@ -301,6 +302,7 @@
     }
   }
 
+  /** Splits a record into one for the released keys and one for each remaining part. */
   private cut(record: GrantRecord, range: KeyRange): void {
     this.records.delete(rangeName(record.range));
     const from = Math.max(range.from, record.range.from);
--- a/src/sidecar/key-ownership.ts
+++ b/src/sidecar/key-ownership.ts
@@ -1,6 +1,6 @@
 /**
- * Key ownership of the local back end: the keys it owns, is certain to hold and may still hold, in either grant
- * mode.
+ * Key ownership of the local back end, in either grant mode: the keys that the directory assigns to it, those that it
+ * certainly holds, and those that it may still hold by an earlier grant.
  */
 import type { DirectoryRequest } from '../directory/directory-messages.js';
 import type { GrantMode } from '../directory/directory-state.js';
@@ -141,14 +141,14 @@
   }
 
   /**
-   * Latest time until which the back end may hold keys, including grants of the previous process. Without those, a
-   * back end lost its keys to others after a daemon restart while it still held them.
+   * Latest time until which the back end may hold keys, including grants of the previous process: when those were left
+   * out, keys were reassigned after a daemon restart while the back end still held them.
    */
   private get mayHoldUntilMs(): number {
     return Math.max(this.earlierGrantsEndMs, this.grants.holdsExpireAtMs);
   }
 
-  /** Whether keys may be on their way to this back end. A daemon that has just started does not know yet. */
+  /** Whether keys may be in transfer to this back end; assumed to be so until this daemon has a table. */
   private get awaitsKeys(): boolean {
     if (this.ports.table.index === 0) return true;
     return this.isKeyed && (this.ports.lease.session === null || this.owned.awaitsKeys());
--- a/src/sidecar/link-wait-estimator.ts
+++ b/src/sidecar/link-wait-estimator.ts
@@ -1,6 +1,6 @@
 /**
- * Estimates how long an answer would wait for the network link of this sidecar. Answers that are still being produced
- * count as well, since a back end produces large answers faster than a slow link carries them.
+ * Estimates how long an answer would wait for the network link of this sidecar. Includes answers
+ * that are still being produced, since a back end produces large answers faster than a slow link transmits them.
  */
 import { MIN_PACED_FRAME_BYTES, type LinkPacer } from '../link/link-pacer.js';
 import { policyIsOn } from '../policy-switches.js';
--- a/src/sidecar/local-backend.ts
+++ b/src/sidecar/local-backend.ts
@@ -1,7 +1,7 @@
 /**
  * State of the local back end: its incarnation, whether it is leaving, and the time of its last heartbeat. A
- * restarted daemon knows neither the back end until the next heartbeat nor what the previous process acknowledged,
- * and assumes the worst case for both.
+ * restarted daemon has no information on the back end until the next heartbeat, and none on what the previous process
+ * acknowledged; it assumes the worst case for both.
  */
 import { idOfIncarnation, incarnationName, type BackendIncarnation } from '../model/backend-incarnation.js';
 import { AcknowledgedLeaves } from './acknowledged-leaves.js';
@@ -34,7 +34,7 @@
 /** Result of processing a heartbeat: from a new incarnation, a newer one of the current incarnation, or stale. */
 export type HeartbeatOutcome = 'new-life' | 'news' | 'stale';
 
-/** State of the back end beside a daemon. */
+/** State of the local back end. */
 export class LocalBackend {
   private present: BackendHeartbeat | null = null;
   private readonly pastIncarnations = new Set<string>();
--- a/src/sidecar/request-forwarder.ts
+++ b/src/sidecar/request-forwarder.ts
@@ -1,7 +1,8 @@
 /**
  * Forwards a caller's request: selects a back end, sends the request to its sidecar, and decides whether to make
- * another attempt when there is no answer. An attempt refused by a sidecar is not charged to the retry allowance. A
- * second arrival at a back end is, and is made only for requests that are safe to run again.
+ * another attempt when there is no answer. Attempts that a sidecar refused are not charged to the retry
+ * allowance. A further attempt after one that reached a back end is charged and, if that one may have run, is made only
+ * for requests that are safe to run again.
  */
 import type { BackendInstance } from '../directory/directory-state.js';
 import type { Link, LinkRequest } from '../link/link-client.js';
@@ -36,7 +37,7 @@
 
 /**
  * Busy refusals after which no further sidecar is tried. Each of them was the least busy of several candidates, so the
- * service is taken to be full, and further attempts would delay other requests.
+ * service is considered full, and further attempts would delay other requests.
  */
 const MAX_BUSY_REFUSALS = 3;
 
@@ -71,9 +72,9 @@
   readonly prober: BackendProber;
   readonly view: (instance: string) => BackendView;
   readonly linkTo: (instance: BackendInstance) => Link;
-  /** Whether a request may be sent to a second back end; false once it is known to end the back ends that run it. */
+  /** Whether a request may be sent to a second back end; false once it is known to crash back ends. */
   readonly mayRepeat: (request: CallerRequest) => boolean;
-  /** Charges a second arrival to the retry allowance of the service; false when the allowance is used up. */
+  /** Charges a further attempt to the retry allowance of the service; false if the allowance is used up. */
   readonly takeRepeat: (service: string) => boolean;
   /** Log index of the directory table in use. */
   readonly tableIndex: () => number;
@@ -91,6 +92,7 @@
   private cancelReselection: CancelTimer | null = null;
   private cancelProbes: CancelTimer | null = null;
   private cancelTimeout: CancelTimer | null = null;
+  /** Number of attempts that may have reached a back end. */
   private arrivals = 0;
   private lastSentMs = 0;
   /** Timing of the answered attempt; null before an answer. */
@@ -361,7 +363,7 @@
     else this.endQuarantined();
   }
 
-  /** Whether enough sidecars were busy to take the whole service to be full. */
+  /** Whether enough sidecars were busy for the whole service to be considered full. */
   private isServiceFull(): boolean {
     return policyIsOn('bounded-refusals') && this.busyRefusals >= MAX_BUSY_REFUSALS;
   }
@@ -410,7 +412,7 @@
       return;
     }
     const repeatable = this.request.route.definition.kind !== 'non-idempotent';
-    // Repeating a request that is known to end back ends would end the next one.
+    // Repeating a request that is known to crash back ends would crash another one.
     const mayRepeat = repeatable && this.ports.mayRepeat(this.request);
     if (timedOut || !mayRepeat || this.withdrawn || !this.takeRepeatAllowance()) {
       this.endUnknown(reason, timedOut);
--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -41,7 +41,7 @@
 } from './sidecar-transport.js';
 import { ZoneEvacuation } from './zone-evacuation.js';
 
-/** Links with a lower bandwidth are slow: an answer may wait in their send queue longer than its processing takes. */
+/** Bandwidth below which answers are paced: their wait in the link's send queue may exceed the processing time. */
 const SLOW_LINK_BYTES_PER_MS = 12_500;
 
 /** Interval in ms between checks of the back end's state. */
@@ -54,9 +54,9 @@
 const FLUSH_MS = 60;
 
 /**
- * Phases of a shutdown, as fractions of the grace time. Until the first, everything continues, since callers learn
- * of the shutdown with a delay. Until the second, the back end still receives requests from other daemons. At the
- * last, everything closes.
+ * Phases of a shutdown, as fractions of the grace time. Callers are served until the first, since they notice the
+ * shutdown with a delay. The back end receives requests from other daemons until the second. At the last, all
+ * connections are closed.
  */
 const CALLERS_CLOSE_FRACTION = 0.45;
 const BACKEND_CLOSE_FRACTION = 0.65;
@@ -451,8 +451,8 @@
   }
 
   /**
-   * Applies a change of the zone's evacuation. One that arrives in a whole table may have begun long ago. When an
-   * evacuation ends, back ends may have become cold without having reported so yet.
+   * Applies a change of the zone's evacuation. One that arrives in a whole table may have begun long ago, so it
+   * stops requests at once. When an evacuation ends, back ends may have become cold without having reported that yet.
    */
   private applyEvacuation(): void {
     const zone = this.backend.heartbeat?.zone ?? this.settings.zone;
--- a/src/sidecar/suspect-scheduler.ts
+++ b/src/sidecar/suspect-scheduler.ts
@@ -11,7 +11,7 @@
 const MAX_DRAIN_MS = 800;
 
 /**
- * Maximum time in ms for which a suspect runs in isolation. After that other requests start beside it, so that calls
+ * Maximum time in ms for which a suspect runs in isolation. After that other requests may run concurrently, so that calls
  * which it makes to its own service do not deadlock; a later crash no longer proves that the suspect caused it.
  */
 const MAX_ISOLATION_MS = 1_000;
@@ -25,7 +25,7 @@
   start(): boolean;
   /** Refuses the request without running it. */
   refuse(): void;
-  /** Evaluates the request anew after its removal from the queue, since its crash record may have changed. */
+  /** Re-evaluates the request after its removal from the queue, since its crash record may have changed. */
   reevaluate(): void;
 }
 
@@ -35,7 +35,7 @@
   holds(fingerprint: string): boolean;
   /** Requests a permit, unless one was requested a moment ago. */
   request(fingerprint: string): void;
-  /** Releases the permit. `begun` tells whether the request may have been run. */
+  /** Releases the permit. `begun` states whether the request may have been run. */
   release(fingerprint: string, begun: boolean): void;
 }
 
@@ -92,7 +92,7 @@
     if (this.current?.suspect === suspect && !this.current.begun) this.abandon(this.current);
   }
 
-  /** Removes and returns all waiting suspects, to be evaluated anew; the current run is not affected. */
+  /** Removes and returns all waiting suspects, to be re-evaluated; the current run is not affected. */
   removeAllWaiting(): readonly SuspectRequest[] {
     const removed = [...this.waiting];
     this.waiting.clear();
