--- a/lab/sim/directory-world.ts
+++ b/lab/sim/directory-world.ts
@@ -1,6 +1,6 @@
 /**
- * One simulated directory: real replicas on virtual time, network and disks, the clients of sidecars that watch it,
- * and an operator. Faults come from a seed; what was acknowledged is held against what is in force at the end.
+ * One simulated directory: real replicas on virtual time, network and disks, the directory clients of sidecars, and an
+ * operator. Faults are drawn from a seed; at the end, acknowledged changes are compared with the state in force.
  */
 import type { ConfigurationItem } from '../../src/directory/directory-state.js';
 import type { DirectoryNode } from '../../src/directory/directory-node.js';
@@ -20,11 +20,11 @@
 import type { SimProcess } from './sim-process.js';
 import { simRuntime } from './sim-runtime.js';
 
-const CLIENTS = 3;
+const WATCHERS = 3;
 const TOLERATED_LOSSES = 2;
 const SERVICE = 'stock';
 
-/** The directory of most plays. */
+/** Size of the directory in most simulations. */
 export const USUAL_SIZE: SimDirectorySize = {
   replicas: 5,
   seeds: 3,
@@ -32,7 +32,7 @@
   snapshotEveryEntries: 25,
 };
 
-/** Eleven replicas that have little processor time: what a message costs at 0.4 of a core. */
+/** Eleven replicas with little processor time: the processor time per message corresponds to 0.4 of a core. */
 export const BUSY_SIZE: SimDirectorySize = {
   replicas: 11,
   seeds: 3,
@@ -41,7 +41,7 @@
   workMsPerKilobyte: 0.8,
 };
 
-/** One sidecar's view, over one life. */
+/** View of the directory that one incarnation of a sidecar has. */
 interface SimWatcher {
   readonly name: string;
   readonly process: SimProcess;
@@ -49,29 +49,29 @@
   readonly lease: LeaseKeeper;
 }
 
-/** A simulated directory. */
+/** A simulated directory with watchers and operators. */
 export class DirectoryWorld {
   readonly queue = new EventQueue();
   readonly random: Random;
   readonly directory: SimDirectory;
   readonly watchers: SimWatcher[] = [];
   readonly violations: string[] = [];
-  /** Highest version of each item that was acknowledged. */
+  /** Highest acknowledged version by item name. */
   readonly acknowledged = new Map<string, number>();
-  /** Zones whose evacuation was acknowledged, and not its end. */
+  /** Zones whose evacuation was acknowledged and whose end was not. */
   private readonly evacuated = new Set<string>();
-  private evacuationUnderWay = false;
-  /** Whether the newest order has a clear outcome. */
-  private evacuationIsCertain = true;
+  private evacuationInFlight = false;
+  /** Whether the outcome of the newest evacuation command is known. */
+  private evacuationOutcomeKnown = true;
   private nextVersion = 1;
-  private readonly orders: SimOrder[] = [];
+  private readonly operatorChanges: OperatorChange[] = [];
 
   constructor(seed: number, size: SimDirectorySize = USUAL_SIZE) {
     this.random = new Random(seed);
     this.directory = new SimDirectory(this.queue, this.random, size);
   }
 
-  /** The replicas. */
+  /** Replicas of the directory. */
   get replicas(): readonly SimReplica[] {
     return this.directory.replicas;
   }
@@ -79,10 +79,10 @@
   /** Starts all replicas and watchers. */
   async start(): Promise<void> {
     await this.directory.start();
-    for (let at = 0; at < CLIENTS; at += 1) this.startWatcher(`sidecar-${at}`);
+    for (let at = 0; at < WATCHERS; at += 1) this.startWatcher(`sidecar-${at}`);
   }
 
-  /** Runs events up to a time, each followed by everything that it has set off without time passing. */
+  /** Runs events up to `untilMs`, after each also the microtasks and immediates that it queued. */
   async runUntil(untilMs: number): Promise<void> {
     while (this.queue.runNext(untilMs)) {
       await new Promise((resolve) => setImmediate(resolve));
@@ -90,12 +90,12 @@
     }
   }
 
-  /** The replica that leads the newest term, if any. */
+  /** Returns the leader of the newest term, or null. */
   leader(): DirectoryNode | null {
     return this.directory.leader();
   }
 
-  /** An operator changes one item; what is acknowledged is remembered. */
+  /** Proposes a new version of one item and records its acknowledgement. */
   change(name: string): void {
     const leader = this.leader();
     if (leader === null) return;
@@ -107,53 +107,52 @@
   }
 
   /**
-   * An operator begins the evacuation of a zone, or ends the one that stands; no further order follows before this one
-   * has an outcome.
+   * Starts the evacuation of a zone, or ends the one in force; ignored while an earlier evacuation command is in flight.
    */
   evacuate(zone: string): void {
     const leader = this.leader();
-    if (leader === null || this.evacuationUnderWay) return;
+    if (leader === null || this.evacuationInFlight) return;
     const evacuated = !this.evacuated.has(zone);
-    this.evacuationUnderWay = true;
+    this.evacuationInFlight = true;
     void leader.propose({ kind: 'set-evacuation', zone, evacuated }).then((outcome) => {
-      this.evacuationUnderWay = false;
-      this.evacuationIsCertain = outcome.ok;
+      this.evacuationInFlight = false;
+      this.evacuationOutcomeKnown = outcome.ok;
       if (!outcome.ok) return;
       if (evacuated) this.evacuated.add(zone);
       else this.evacuated.delete(zone);
     });
   }
 
-  /** An operator sends one change, to one replica after the other, until it is acknowledged. */
+  /** Sends one change to one replica after another until it is acknowledged, as an operator does. */
   order(name: string): void {
-    const order: SimOrder = {
+    const change: OperatorChange = {
       name,
       version: this.nextVersion,
       sentMs: this.queue.nowMs,
       acknowledgedMs: null,
     };
     this.nextVersion += 1;
-    this.orders.push(order);
-    this.sendOrder(order, this.random.below(this.replicas.length), 0);
+    this.operatorChanges.push(change);
+    this.sendOperatorChange(change, this.random.below(this.replicas.length), 0);
   }
 
-  /** Lets a fault strike, and repairs it after `lastsMs`. */
+  /** Injects a fault, and repairs it after `lastsMs`. */
   strike(fault: DirectoryFault, replica: SimReplica, lastsMs: number): void {
     this.directory.strike(fault, replica, lastsMs);
   }
 
-  /** All replicas lose power at once, and as many as is tolerated lose their disks as well. */
+  /** Crashes all replicas at once; up to the tolerated number also lose their disks. */
   losePower(): void {
-    const lost = this.random.below(TOLERATED_LOSSES + 1);
+    const lostDisks = this.random.below(TOLERATED_LOSSES + 1);
     const count = this.replicas.length;
     const first = this.random.below(count);
     this.replicas.forEach((replica, at) => {
-      const losesDisk = (at - first + count) % count < lost;
+      const losesDisk = (at - first + count) % count < lostDisks;
       this.strike(losesDisk ? 'lose-disk' : 'crash', replica, 300 + this.random.below(1_000));
     });
   }
 
-  /** After everything was repaired: one leader, all that was acknowledged, and the same at every watcher. */
+  /** Checks the state after all repairs: there is a leader, nothing acknowledged is lost, and every watcher agrees. */
   judge(): void {
     const state = this.leader()?.state;
     if (state === undefined) {
@@ -165,7 +164,7 @@
       if (present < version)
         this.violations.push(`${name} ${version} was acknowledged, ${present} is in force`);
     }
-    this.judgeEvacuations(state.evacuatedZones);
+    this.checkEvacuations(state.evacuatedZones);
     for (const { name, table, lease } of this.watchers) {
       if (table.instance(name) === undefined)
         this.violations.push(`${name} is not registered in its own table`);
@@ -176,57 +175,58 @@
     }
   }
 
-  private judgeEvacuations(present: ReadonlySet<string>): void {
-    if (!this.evacuationIsCertain || this.evacuationUnderWay) return;
+  private checkEvacuations(present: ReadonlySet<string>): void {
+    if (!this.evacuationOutcomeKnown || this.evacuationInFlight) return;
     const expected = [...this.evacuated].sort().join(',');
     const known = [...present].sort().join(',');
     if (known !== expected) this.violations.push(`evacuated: ${known}, acknowledged: ${expected}`);
     for (const { name, table } of this.watchers) {
       const missing = [...present].filter((zone) => !table.isEvacuated(zone));
       if (missing.length > 0)
-        this.violations.push(`${name} knows nothing of the evacuation of ${missing.join()}`);
+        this.violations.push(`${name} does not know the evacuation of ${missing.join()}`);
     }
   }
 
-  /** Orders must be acknowledged within a bound once it is calm; `calmFromMs` is when all had been repaired for a while. */
-  judgeOrders(calmFromMs: number): void {
-    for (const { name, sentMs, acknowledgedMs } of this.orders) {
-      const dueMs = Math.max(sentMs, calmFromMs) + ORDER_BOUND_MS;
+  /** Checks that operator changes are acknowledged within a bound; the bound starts no earlier than `recoveredFromMs`. */
+  checkAcknowledgementTimes(recoveredFromMs: number): void {
+    for (const { name, sentMs, acknowledgedMs } of this.operatorChanges) {
+      const dueMs = Math.max(sentMs, recoveredFromMs) + ACKNOWLEDGEMENT_BOUND_MS;
       if (acknowledgedMs !== null && acknowledgedMs <= dueMs) continue;
       const end = acknowledgedMs === null ? 'never' : `at ${Math.round(acknowledgedMs)} ms`;
       this.violations.push(`${name}, sent at ${Math.round(sentMs)} ms, was acknowledged ${end}`);
     }
   }
 
-  /** One call; where there is no acknowledgement in time, the next replica is asked after a growing pause. */
-  private sendOrder(order: SimOrder, at: number, failures: number): void {
-    let open = true;
-    const goOn = (next: number, pauseMs: number): void => {
-      if (!open || order.acknowledgedMs !== null) return;
-      open = false;
+  /** Sends one call; without an acknowledgement in time, tries another replica, with exponential backoff after refusals. */
+  private sendOperatorChange(change: OperatorChange, index: number, failures: number): void {
+    let pending = true;
+    const retryAt = (next: number, pauseMs: number): void => {
+      if (!pending || change.acknowledgedMs !== null) return;
+      pending = false;
       this.queue.at(this.queue.nowMs + pauseMs, () => {
-        this.sendOrder(order, next, failures + 1);
+        this.sendOperatorChange(change, next, failures + 1);
       });
     };
     const count = this.replicas.length;
-    const elsewhere = (at + 1 + this.random.below(count - 1)) % count;
-    const pauseMs = Math.min(LONGEST_ORDER_PAUSE_MS, FIRST_ORDER_PAUSE_MS * 2 ** failures);
-    this.queue.at(this.queue.nowMs + ORDER_TIMEOUT_MS, () => {
-      goOn(elsewhere, 0);
+    const otherIndex = (index + 1 + this.random.below(count - 1)) % count;
+    const pauseMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** failures);
+    this.queue.at(this.queue.nowMs + OPERATOR_TIMEOUT_MS, () => {
+      retryAt(otherIndex, 0);
     });
-    const replica = this.replicas[at];
+    const replica = this.replicas[index];
     const node = replica?.process.alive === true && !replica.process.frozen ? replica.node : null;
     if (node === null) return;
     if (!node.leading) {
-      const leader = this.replicas.findIndex(({ name }) => name === node.leaderAddress);
-      if (leader >= 0 && leader !== at && node.hasRecentLeader) goOn(leader, ORDER_REDIRECT_MS);
-      else goOn(elsewhere, pauseMs);
+      const leaderIndex = this.replicas.findIndex(({ name }) => name === node.leaderAddress);
+      if (leaderIndex >= 0 && leaderIndex !== index && node.hasRecentLeader)
+        retryAt(leaderIndex, REDIRECT_DELAY_MS);
+      else retryAt(otherIndex, pauseMs);
       return;
     }
-    const items = [serviceItem(order.name, order.version)];
+    const items = [serviceItem(change.name, change.version)];
     void node.propose({ kind: 'configure-items', items }).then((outcome) => {
-      if (outcome.ok) order.acknowledgedMs ??= this.queue.nowMs;
-      else goOn(elsewhere, pauseMs);
+      if (outcome.ok) change.acknowledgedMs ??= this.queue.nowMs;
+      else retryAt(otherIndex, pauseMs);
     });
   }
 
@@ -265,7 +265,7 @@
     this.watchers.push({ name, process, table, lease });
   }
 
-  /** Two replicas that lead the same term would both acknowledge. */
+  /** Checks that no two replicas lead the same term, since both would acknowledge changes. */
   private checkLeaders(): void {
     const terms = this.replicas.flatMap(({ node, process }) => {
       return process.alive && node?.leading === true ? [node.consensus?.core.term] : [];
@@ -279,19 +279,19 @@
   return { kind: 'service', name, version, source: `${version}`, definition };
 }
 
-/** Time in ms within which an order must be acknowledged in calm. */
-const ORDER_BOUND_MS = 4_000;
+/** Time in ms within which an operator change must be acknowledged once no faults are active. */
+const ACKNOWLEDGEMENT_BOUND_MS = 4_000;
 
-/** Time in ms after which an operator asks another replica, and what a redirection takes. */
-const ORDER_TIMEOUT_MS = 1_000;
-const ORDER_REDIRECT_MS = 5;
+/** Time in ms after which an operator tries another replica, and delay of a redirection. */
+const OPERATOR_TIMEOUT_MS = 1_000;
+const REDIRECT_DELAY_MS = 5;
 
-/** Pauses in ms of an operator before it asks the next replica. */
-const FIRST_ORDER_PAUSE_MS = 100;
-const LONGEST_ORDER_PAUSE_MS = 1_000;
+/** Bounds in ms of the backoff before an operator tries the next replica. */
+const INITIAL_BACKOFF_MS = 100;
+const MAX_BACKOFF_MS = 1_000;
 
-/** A change that an operator sends until it is acknowledged. */
-interface SimOrder {
+/** A change that an operator resends until it is acknowledged. */
+interface OperatorChange {
   readonly name: string;
   readonly version: number;
   readonly sentMs: number;
@@ -299,22 +299,22 @@
 }
 
 const READY_MS = 4_000;
-const EVACUATE_EVERY_MS = 450;
+const EVACUATION_INTERVAL_MS = 450;
 const FAULTS_UNTIL_MS = 16_000;
-const CHANGE_EVERY_MS = 120;
-/** All replicas lose power while changes are still made; faults that struck one alone are over by then. */
+const CHANGE_INTERVAL_MS = 120;
+/** All replicas lose power while changes are still proposed; faults of single replicas are repaired by then. */
 const POWER_LOSS_MS = 19_000;
 const SETTLED_MS = 34_000;
 
-/** Orders are sent until here; everything has run again for some seconds then. */
-const ORDERS_UNTIL_MS = 29_000;
-const ORDER_EVERY_MS = 700;
+/** End of the operator changes; all replicas have been running again for some seconds by then. */
+const OPERATOR_CHANGES_UNTIL_MS = 29_000;
+const OPERATOR_CHANGE_INTERVAL_MS = 700;
 
-/** When everything is back after the loss of power, and the replicas have had a while: what is sent must be acknowledged. */
-const CALM_FROM_MS = 24_000;
+/** Time at which the replicas have recovered from the power loss: later operator changes must be acknowledged in time. */
+const RECOVERED_FROM_MS = 24_000;
 const FAULT_KINDS: readonly DirectoryFault[] = ['crash', 'lose-disk', 'freeze', 'cut', 'mute'];
 
-/** Runs one seed; returns what was broken, and how many changes were acknowledged. */
+/** Runs one seed; returns the violations and the number of items with an acknowledged change. */
 export async function runDirectory(
   seed: number,
   size: SimDirectorySize = USUAL_SIZE,
@@ -323,12 +323,12 @@
   await world.start();
   await world.runUntil(READY_MS);
   world.change('first');
-  for (let atMs = READY_MS; atMs < POWER_LOSS_MS + CHANGE_EVERY_MS; atMs += CHANGE_EVERY_MS) {
+  for (let atMs = READY_MS; atMs < POWER_LOSS_MS + CHANGE_INTERVAL_MS; atMs += CHANGE_INTERVAL_MS) {
     world.queue.at(atMs, () => {
-      world.change(`item-${Math.floor(atMs / CHANGE_EVERY_MS) % 17}`);
+      world.change(`item-${Math.floor(atMs / CHANGE_INTERVAL_MS) % 17}`);
     });
   }
-  // Disks are lost one after the other, each with the time that a newcomer has to catch up.
+  // Faults are spaced so that a replica that lost its disk can catch up before the next one does.
   for (let atMs = READY_MS + 500; atMs < FAULTS_UNTIL_MS; atMs += 4_000) {
     world.queue.at(atMs, () => {
       const replica = world.replicas[world.random.below(world.replicas.length)];
@@ -337,21 +337,21 @@
         world.strike(fault, replica, 300 + world.random.below(2_000));
     });
   }
-  for (let atMs = READY_MS; atMs < POWER_LOSS_MS; atMs += EVACUATE_EVERY_MS) {
+  for (let atMs = READY_MS; atMs < POWER_LOSS_MS; atMs += EVACUATION_INTERVAL_MS) {
     world.queue.at(atMs, () => {
       world.evacuate(`zone-${world.random.below(2)}`);
     });
   }
-  world.queue.at(POWER_LOSS_MS + world.random.below(CHANGE_EVERY_MS), () => {
+  world.queue.at(POWER_LOSS_MS + world.random.below(CHANGE_INTERVAL_MS), () => {
     world.losePower();
   });
-  for (let atMs = READY_MS; atMs < ORDERS_UNTIL_MS; atMs += ORDER_EVERY_MS) {
+  for (let atMs = READY_MS; atMs < OPERATOR_CHANGES_UNTIL_MS; atMs += OPERATOR_CHANGE_INTERVAL_MS) {
     world.queue.at(atMs, () => {
       world.order(`order-${atMs}`);
     });
   }
   await world.runUntil(SETTLED_MS);
   world.judge();
-  world.judgeOrders(CALM_FROM_MS);
+  world.checkAcknowledgementTimes(RECOVERED_FROM_MS);
   return { violations: [...new Set(world.violations)], acknowledged: world.acknowledged.size };
 }
--- a/lab/sim/event-queue.ts
+++ b/lab/sim/event-queue.ts
@@ -1,4 +1,4 @@
-/** Virtual time: events in the order of their time, and of their making where times are equal. */
+/** Virtual time: a queue of events ordered by time, and by insertion where times are equal. */
 
 interface QueuedEvent {
   readonly atMs: number;
@@ -6,74 +6,74 @@
   readonly run: () => void;
 }
 
-/** A binary heap of events. */
+/** A binary min-heap of scheduled events. */
 export class EventQueue {
   private readonly heap: QueuedEvent[] = [];
   private nextSequence = 0;
   private currentMs = 0;
   private runCount = 0;
 
-  /** Present virtual time, in ms. */
+  /** Current virtual time, in ms. */
   get nowMs(): number {
     return this.currentMs;
   }
 
-  /** Events that were run. */
+  /** Number of events run so far. */
   get steps(): number {
     return this.runCount;
   }
 
-  /** Runs `run` at `atMs`, or now when that has passed. */
+  /** Schedules `run` at `atMs`, or at the current time if `atMs` has passed. */
   at(atMs: number, run: () => void): void {
     const event = { atMs: Math.max(atMs, this.currentMs), sequence: this.nextSequence, run };
     this.nextSequence += 1;
     this.heap.push(event);
-    this.rise(this.heap.length - 1);
+    this.siftUp(this.heap.length - 1);
   }
 
-  /** Runs the next event if it is due by `untilMs`; otherwise moves the time there and returns false. */
+  /** Runs the next event if it is due by `untilMs`; otherwise advances the time to `untilMs` and returns false. */
   runNext(untilMs: number): boolean {
     const next = this.heap[0];
     if (next === undefined || next.atMs > untilMs) {
       this.currentMs = untilMs;
       return false;
     }
-    this.takeFirst();
+    this.removeFirst();
     this.currentMs = next.atMs;
     this.runCount += 1;
     next.run();
     return true;
   }
 
-  private takeFirst(): void {
+  private removeFirst(): void {
     const last = this.heap.pop();
     if (last === undefined || this.heap.length === 0) return;
     this.heap[0] = last;
-    this.sink();
+    this.siftDown();
   }
 
-  private rise(start: number): void {
-    let at = start;
-    while (at > 0) {
-      const parent = (at - 1) >>> 1;
-      if (!this.swapIfBefore(at, parent)) return;
-      at = parent;
+  private siftUp(start: number): void {
+    let index = start;
+    while (index > 0) {
+      const parent = (index - 1) >>> 1;
+      if (!this.swapIfBefore(index, parent)) return;
+      index = parent;
     }
   }
 
-  private sink(): void {
-    let at = 0;
+  private siftDown(): void {
+    let index = 0;
     for (;;) {
-      const left = 2 * at + 1;
+      const left = 2 * index + 1;
       const right = left + 1;
       if (left >= this.heap.length) return;
-      const smaller = right < this.heap.length && this.before(right, left) ? right : left;
-      if (!this.swapIfBefore(smaller, at)) return;
-      at = smaller;
+      const smaller = right < this.heap.length && this.isBefore(right, left) ? right : left;
+      if (!this.swapIfBefore(smaller, index)) return;
+      index = smaller;
     }
   }
 
-  private before(left: number, right: number): boolean {
+  private isBefore(left: number, right: number): boolean {
     const a = this.heap[left];
     const b = this.heap[right];
     if (a === undefined || b === undefined) return false;
@@ -81,7 +81,7 @@
   }
 
   private swapIfBefore(lower: number, upper: number): boolean {
-    if (!this.before(lower, upper)) return false;
+    if (!this.isBefore(lower, upper)) return false;
     const a = this.heap[lower];
     const b = this.heap[upper];
     if (a === undefined || b === undefined) return false;
--- a/lab/sim/fault-runner.ts
+++ b/lab/sim/fault-runner.ts
@@ -1,38 +1,38 @@
-/** Brings faults about in a world and repairs them. */
+/** Injects faults into a world and repairs them. */
 import type { ControlTarget, SimFault } from './sim-faults.js';
 import type { SimControl, SimMachine, SimWorld } from './sim-world.js';
 
-/** Time in ms within which a leaving back end must stop to receive work. */
+/** Time in ms within which a draining back end must stop receiving work. */
 export const DRAIN_LIMIT_MS = 5_000;
 
-const DRAIN_POLL_MS = 50;
-const DRAIN_POLLS = 160;
-const RETRY_MS = 200;
-const RETRIES = 25;
+const DRAIN_POLL_INTERVAL_MS = 50;
+const MAX_DRAIN_POLLS = 160;
+const RETRY_DELAY_MS = 200;
+const MAX_ATTEMPTS = 25;
 
-/** A stretch in which a back end was leaving and should have had no work. Times in true ms. */
-export interface DrainedStretch {
+/** An interval, in ms of true time, in which a draining back end must not receive work. */
+export interface DrainedInterval {
   readonly backend: string;
   readonly fromMs: number;
   readonly toMs: number;
 }
 
-/** Runs the faults of one world. */
+/** Injects the faults of one world. */
 export class FaultRunner {
-  readonly drained: DrainedStretch[] = [];
+  readonly drained: DrainedInterval[] = [];
   private submissions = 0;
 
   constructor(private readonly world: SimWorld) {}
 
-  /** Runs one fault to its repair. */
+  /** Injects one fault at its time and resolves after its repair. */
   async run(fault: SimFault): Promise<void> {
     await this.world.sleep(fault.atMs);
     this.world.trace(`fault ${JSON.stringify(fault)}`);
-    await this.begin(fault);
+    await this.inject(fault);
     this.world.trace(`fault ${fault.kind} is repaired`);
   }
 
-  private async begin(fault: SimFault): Promise<void> {
+  private async inject(fault: SimFault): Promise<void> {
     switch (fault.kind) {
       case 'crash-control':
         return await this.crashControl(this.controlAt(fault.target), fault.loseDisk, fault.lastsMs);
@@ -43,19 +43,19 @@
       case 'drain':
         return await this.drain(this.machineAt(fault.target), fault.lastsMs);
       case 'operators-race':
-        return await this.race();
+        return await this.raceOperators();
       case 'many-changes':
-        return await this.changeOften(fault.count);
+        return await this.submitManyChanges(fault.count);
       case 'crash-router':
       case 'freeze-router':
       case 'cut-router':
-        return await this.hitRouter(fault);
+        return await this.injectRouterFault(fault);
       default:
-        return await this.hitMachine(fault, this.machineAt(fault.target));
+        return await this.injectMachineFault(fault, this.machineAt(fault.target));
     }
   }
 
-  private async hitMachine(
+  private async injectMachineFault(
     fault: Exclude<SimFault, { target?: ControlTarget; kind: 'crash-control' }>,
     machine: SimMachine,
   ): Promise<void> {
@@ -79,7 +79,7 @@
     }
   }
 
-  private async hitRouter(fault: Extract<SimFault, { kind: `${string}-router` }>): Promise<void> {
+  private async injectRouterFault(fault: Extract<SimFault, { kind: `${string}-router` }>): Promise<void> {
     const router = this.world.routers[fault.target];
     if (router === undefined) return;
     switch (fault.kind) {
@@ -93,14 +93,14 @@
         await this.freeze([router.process], fault.lastsMs);
         break;
       case 'cut-router':
-        await this.cutFrom(router.name, this.controlNames(), fault.lastsMs);
+        await this.cutBothDirectionsFor(router.name, this.controlNames(), fault.lastsMs);
         break;
     }
   }
 
   private async crashControl(control: SimControl, loseDisk: boolean, lastsMs: number): Promise<void> {
     if (!control.process.alive) return;
-    // With one replica already down, a lost disk on another would be a loss that is not claimed to be tolerated.
+    // With one replica already down, losing the disk of another exceeds the losses that the system claims to tolerate.
     const othersAlive = this.world.control.filter(({ process }) => process.alive).length - 1;
     const mayLoseDisk = loseDisk && othersAlive >= this.world.control.length - 1 && this.allAreVoters();
     this.world.crashControl(control, mayLoseDisk);
@@ -108,7 +108,7 @@
     await this.world.startControl(control);
   }
 
-  /** Whether an earlier lost disk is repaired: every running replica votes again. */
+  /** Whether every replica is a running voter, so that an earlier disk loss is repaired. */
   private allAreVoters(): boolean {
     const voters = this.world.leader()?.node?.consensus?.core.membership.voters ?? [];
     return this.world.control.every(({ node }) => node !== null && voters.includes(node.id));
@@ -165,66 +165,70 @@
     const own = [machine.backend.name, machine.agentProcess.name];
     const others =
       from === 'control' ? this.controlNames() : this.allNames().filter((name) => !own.includes(name));
-    for (const name of own) this.cutBothWays(name, others);
+    for (const name of own) this.cutBothDirections(name, others);
     await this.world.sleep(lastsMs);
     this.world.network.healAll();
   }
 
-  private async cutFrom(name: string, others: readonly string[], lastsMs: number): Promise<void> {
-    this.cutBothWays(name, others);
+  private async cutBothDirectionsFor(
+    name: string,
+    others: readonly string[],
+    lastsMs: number,
+  ): Promise<void> {
+    this.cutBothDirections(name, others);
     await this.world.sleep(lastsMs);
     this.world.network.healAll();
   }
 
-  private cutBothWays(name: string, others: readonly string[]): void {
+  private cutBothDirections(name: string, others: readonly string[]): void {
     for (const other of others) {
       this.world.network.cut(name, other);
       this.world.network.cut(other, name);
     }
   }
 
-  /** Drains, waits until it is empty, stops in order, starts again and takes it back. */
+  /** Drains a back end, waits until it owns no shards, stops it gracefully, restarts it and ends the drain. */
   private async drain(machine: SimMachine, lastsMs: number): Promise<void> {
     const { backend } = machine;
     if (!(await this.setDraining(backend.name, true))) return;
     const acknowledgedMs = this.world.queue.nowMs;
-    for (let poll = 0; poll < DRAIN_POLLS && this.ownedBy(backend.name) > 0; poll += 1) {
-      await this.world.sleep(DRAIN_POLL_MS);
+    for (let poll = 0; poll < MAX_DRAIN_POLLS && this.countOwnedShards(backend.name) > 0; poll += 1) {
+      await this.world.sleep(DRAIN_POLL_INTERVAL_MS);
     }
     await this.world.sleep(lastsMs);
     const fromMs = acknowledgedMs + DRAIN_LIMIT_MS;
     this.drained.push({ backend: backend.name, fromMs, toMs: this.world.queue.nowMs });
-    await this.stopAndStart(machine);
+    await this.restartGracefully(machine);
     await this.setDraining(backend.name, false);
   }
 
-  private async stopAndStart(machine: SimMachine): Promise<void> {
+  private async restartGracefully(machine: SimMachine): Promise<void> {
     if (!machine.agentProcess.alive || !machine.backend.process.alive) return;
     void machine.agent?.stop();
-    await this.world.sleep(RETRY_MS);
+    await this.world.sleep(RETRY_DELAY_MS);
     this.world.crash(machine.agentProcess);
     this.world.crash(machine.backend.process);
-    await this.world.sleep(RETRY_MS);
+    await this.world.sleep(RETRY_DELAY_MS);
     await this.world.startMachine(machine);
   }
 
-  private ownedBy(backend: string): number {
+  private countOwnedShards(backend: string): number {
     const services = [...(this.world.leader()?.node?.state.shards.values() ?? [])];
     const rows = services.flatMap((service) => service.rows);
     return rows.filter((row) => row.owner === backend || row.movingTo === backend).length;
   }
 
   private async setDraining(backend: string, draining: boolean): Promise<boolean> {
-    for (let attempt = 0; attempt < RETRIES; attempt += 1) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       const outcome = await this.world.submit({ kind: 'set-drain', backend, draining });
       if (outcome?.kind === 'done') return true;
-      await this.world.sleep(RETRY_MS);
+      await this.world.sleep(RETRY_DELAY_MS);
     }
     return false;
   }
 
-  /** Two operators with equal numbers; each asks again until it has an answer. */
-  private async race(): Promise<void> {
+  /** Two operators submit with the same base revision; each retries until it has an answer. */
+  private async raceOperators(): Promise<void> {
     const base = this.world.configurations.revision;
     await Promise.all(
       ['left', 'right'].map(async (side) => {
@@ -236,15 +240,15 @@
 
   private async submitUntilAnswered(submissionId: string, base: number): Promise<void> {
     const deadlineMs = 1_000 + this.world.random.below(1_000);
-    for (let attempt = 0; attempt < RETRIES; attempt += 1) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       const outcome = await this.world.configure(submissionId, base, deadlineMs);
       const answerIsLost = this.world.random.fraction() < 0.5;
       if (outcome !== null && !answerIsLost) return;
-      await this.world.sleep(RETRY_MS);
+      await this.world.sleep(RETRY_DELAY_MS);
     }
   }
 
-  private async changeOften(count: number): Promise<void> {
+  private async submitManyChanges(count: number): Promise<void> {
     for (let change = 0; change < count; change += 1) {
       this.submissions += 1;
       const base = this.world.configurations.revision;
--- a/lab/sim/fleet/fleet-backend.ts
+++ b/lab/sim/fleet/fleet-backend.ts
@@ -1,4 +1,4 @@
-/** A simulated back end: it holds keys, works on requests, and may end under one of them. */
+/** A simulated back end: it holds keys, runs requests, and may be ended by one of them. */
 import type { GrantMode } from '../../../src/directory/directory-state.js';
 import { requestFingerprint } from '../../../src/quarantine/request-fingerprint.js';
 import type { BackendRequest, BackendRequestHandlers } from '../../../src/sidecar/backend-connection.js';
@@ -11,55 +11,55 @@
 
 const STATUS = { ok: 200, misdirected: 421, full: 503 } as const;
 
-/** Parts of the mean between which work is drawn. */
-const LEAST_WORK = 0.5;
-const WORK_SPREAD = 1;
+/** Minimum processing time, and width of the range it is drawn from, as fractions of the mean. */
+const MIN_WORK_FACTOR = 0.5;
+const WORK_FACTOR_RANGE = 1;
 
-/** A run at a back end, for whoever judges. */
+/** Record of one run of a request at a back end. */
 export interface FleetRun {
   readonly requestId: string;
   readonly traffic: string;
   readonly fingerprint: string;
   readonly instance: string;
   readonly atMs: number;
-  /** How it ended; null while it has not. */
+  /** How the run ended; null while it is in progress. */
   end: 'answered' | 'backend-ended' | 'cut' | null;
   endMs: number;
 }
 
-/** What a back end needs of its world. */
+/** Dependencies of a back end. */
 export interface FleetBackendPorts {
   readonly queue: EventQueue;
   readonly random: Random;
   readonly slots: number;
   readonly judge: SoakJudge;
   readonly trafficOf: (path: string) => FleetTraffic;
-  /** How the keys of a service are granted now. */
+  /** Returns the current grant mode of a service. */
   readonly grantMode: (service: string) => GrantMode;
   readonly onRun: (run: FleetRun) => void;
-  /** A request has ended it. */
+  /** Called when a request ends the back end. */
   readonly onEnd: () => void;
 }
 
-interface Work {
+interface RequestInProgress {
   readonly run: FleetRun;
   readonly handlers: BackendRequestHandlers;
 }
 
-/** One life of a back end. */
+/** One incarnation of a back end. */
 export class FleetBackend {
   readonly keys: HeldKeys;
   sequence = 0;
   up = true;
   draining = false;
-  /** It sends no heartbeats any more, since it has said goodbye. */
+  /** Whether it has announced its end and sends no more heartbeats. */
   saidGoodbye = false;
-  private readonly working = new Set<Work>();
+  private readonly inProgress = new Set<RequestInProgress>();
 
   constructor(
-    /** Name that it goes by; another life may go by the same. */
+    /** Id of the back end; other incarnations may have the same. */
     readonly id: string,
-    /** Tells this life from all others, for whoever judges. */
+    /** Unique name of this incarnation, for the judge. */
     readonly life: string,
     readonly bornMs: number,
     readonly service: FleetService,
@@ -76,13 +76,13 @@
     );
   }
 
-  /** Whether it works on anything. */
+  /** Whether any request is in progress. */
   get busy(): boolean {
-    return this.working.size > 0;
+    return this.inProgress.size > 0;
   }
 
-  /** Takes a request; returns how its caller breaks it off. */
-  take(request: BackendRequest, handlers: BackendRequestHandlers): () => void {
+  /** Accepts or declines a request; returns a function that cancels it. */
+  handleRequest(request: BackendRequest, handlers: BackendRequestHandlers): () => void {
     const { headers, requestId } = request;
     const keyText = headerValue(headers, DEFAULT_HEADER_DIALECT.key);
     const key = this.service.keyed ? Number(keyText) : null;
@@ -92,48 +92,48 @@
       decline(handlers, requestId, STATUS.misdirected);
       return () => undefined;
     }
-    if (this.working.size >= this.ports.slots) {
+    if (this.inProgress.size >= this.ports.slots) {
       decline(handlers, requestId, STATUS.full);
       return () => undefined;
     }
     return this.begin(request, handlers, key);
   }
 
-  /** Closes connections under requests, and goes on; at most `count` of them. */
+  /** Breaks the connections of at most `count` requests in progress, and keeps running. */
   reset(count = Infinity): void {
-    for (const work of [...this.working].slice(0, count)) {
-      this.working.delete(work);
+    for (const work of [...this.inProgress].slice(0, count)) {
+      this.inProgress.delete(work);
       this.close(work.run, 'cut');
       work.handlers.onBroken('broken', 'the answer was cut short', true);
     }
   }
 
-  /** Answers what it works on with bytes that are no answer. */
+  /** Answers the requests in progress with bytes that are not a valid answer. */
   garble(): void {
-    for (const work of [...this.working]) {
-      this.working.delete(work);
+    for (const work of [...this.inProgress]) {
+      this.inProgress.delete(work);
       this.close(work.run, 'cut');
       work.handlers.onBroken('garbled', 'no answer', true);
     }
   }
 
-  /** Ends without a sign: nothing is closed, and nothing answers. */
+  /** Ends silently: connections stay open and get no answers. */
   goDark(): void {
     this.up = false;
     this.ports.judge.ended(this.life);
-    for (const { run } of this.working) this.close(run, 'backend-ended');
-    this.working.clear();
+    for (const { run } of this.inProgress) this.close(run, 'backend-ended');
+    this.inProgress.clear();
   }
 
-  /** Ends at once; whatever it works on breaks off. */
+  /** Ends at once and breaks the connections of requests in progress. */
   end(): void {
     this.up = false;
     this.ports.judge.ended(this.life);
-    for (const { run, handlers } of this.working) {
+    for (const { run, handlers } of this.inProgress) {
       this.close(run, 'backend-ended');
       handlers.onBroken('broken', 'the answer was cut short', true);
     }
-    this.working.clear();
+    this.inProgress.clear();
   }
 
   private begin(request: BackendRequest, handlers: BackendRequestHandlers, key: number | null): () => void {
@@ -163,27 +163,27 @@
       { requestId, backend: this.life, service: this.service.name, key, repeatable },
       queue.nowMs,
     );
-    this.working.add(work);
+    this.inProgress.add(work);
     if (key !== null) this.keys.begin(key);
-    const workMs = traffic.workMs * (LEAST_WORK + WORK_SPREAD * random.fraction());
+    const workMs = traffic.workMs * (MIN_WORK_FACTOR + WORK_FACTOR_RANGE * random.fraction());
     queue.at(queue.nowMs + workMs, () => {
-      if (!this.working.has(work)) return;
-      if (this.endsUnder(traffic)) this.ports.onEnd();
+      if (!this.inProgress.has(work)) return;
+      if (this.isEndedBy(traffic)) this.ports.onEnd();
       else this.answer(work, key);
     });
     return () => {
-      if (!this.working.delete(work)) return;
+      if (!this.inProgress.delete(work)) return;
       if (key !== null) this.keys.end(key);
       this.close(run, 'cut');
     };
   }
 
-  private endsUnder({ endsBackend }: FleetTraffic): boolean {
+  private isEndedBy({ endsBackend }: FleetTraffic): boolean {
     return typeof endsBackend === 'boolean' ? endsBackend : endsBackend.includes(this.version);
   }
 
-  private answer(work: Work, key: number | null): void {
-    this.working.delete(work);
+  private answer(work: RequestInProgress, key: number | null): void {
+    this.inProgress.delete(work);
     if (key !== null) this.keys.end(key);
     const { run, handlers } = work;
     this.close(run, 'answered');
--- a/lab/sim/fleet/fleet-callers.ts
+++ b/lab/sim/fleet/fleet-callers.ts
@@ -1,4 +1,4 @@
-/** Callers of a simulated fleet: they send requests at any machine and, as far as the answer allows, try again. */
+/** Callers of a simulated fleet: they send requests to any machine and retry where the answer allows it. */
 import type { RouteDefinition } from '../../../src/directory/directory-state.js';
 import { answerGivenUp } from '../../../src/sidecar/caller-server.js';
 import type { CallerSink } from '../../../src/sidecar/caller-request.js';
@@ -11,26 +11,26 @@
 /** Host of all requests. */
 export const FLEET_HOST = 'fleet.example';
 
-/** Statuses after which no caller comes back. */
+/** Statuses after which callers do not retry. */
 const FINAL_STATUSES: ReadonlySet<number> = new Set([400, 401, 404, 413, 431]);
 
-/** Statuses that promise that the request was not run. */
+/** Statuses that guarantee that the request was not run. */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 const FIRST_FAILURE_STATUS = 300;
 
-/** One try of a caller. */
+/** One attempt of a caller. */
 export interface FleetTry {
   readonly requestId: string;
   readonly traffic: string;
   readonly machine: string;
   readonly atMs: number;
-  /** Null while there is no answer, and where the daemon died. */
+  /** Status of the answer; null until there is one, and for good if the daemon crashed. */
   status: number | null;
   answeredMs: number;
 }
 
-/** A request over all its tries. */
+/** A request with all its attempts. */
 export interface FleetRequestRecord {
   readonly traffic: string;
   readonly atMs: number;
@@ -38,7 +38,7 @@
   served: boolean;
 }
 
-/** The callers. */
+/** All callers of a fleet. */
 export class FleetCallers {
   readonly requests: FleetRequestRecord[] = [];
   private nextId = 0;
@@ -49,7 +49,7 @@
     private readonly machines: readonly FleetMachine[],
   ) {}
 
-  /** Sends the requests of one kind until a time. */
+  /** Sends requests of one kind until `untilMs`. */
   start(traffic: FleetTraffic, untilMs: number): void {
     let number = 0;
     const next = (): void => {
@@ -61,7 +61,7 @@
     this.queue.at(traffic.fromMs, next);
   }
 
-  /** Sends one request now. */
+  /** Sends one request immediately. */
   send(traffic: FleetTraffic, number: number): FleetRequestRecord {
     const record = { traffic: traffic.name, atMs: this.queue.nowMs, tries: [], served: false };
     this.requests.push(record);
@@ -76,13 +76,13 @@
     retriesLeft: number,
   ): void {
     const { queue } = this;
-    const leftMs = record.atMs + traffic.deadlineMs - queue.nowMs;
-    const up = this.machines.filter(({ callers }) => callers !== null);
-    if (leftMs <= 0 || up.length === 0) return;
-    const machine = this.random.pick(up);
+    const remainingMs = record.atMs + traffic.deadlineMs - queue.nowMs;
+    const listening = this.machines.filter(({ callers }) => callers !== null);
+    if (remainingMs <= 0 || listening.length === 0) return;
+    const machine = this.random.pick(listening);
     this.nextId += 1;
     const requestId = `request-${this.nextId}`;
-    const tried: FleetTry = {
+    const current: FleetTry = {
       requestId,
       traffic: traffic.name,
       machine: machine.name,
@@ -90,45 +90,45 @@
       status: null,
       answeredMs: Infinity,
     };
-    record.tries.push(tried);
-    const answered = (status: number, retryAfterMs: number): void => {
-      if (tried.status !== null) return;
-      tried.status = status;
-      tried.answeredMs = queue.nowMs;
+    record.tries.push(current);
+    const onAnswered = (status: number, retryAfterMs: number): void => {
+      if (current.status !== null) return;
+      current.status = status;
+      current.answeredMs = queue.nowMs;
       if (status < FIRST_FAILURE_STATUS) record.served = true;
-      else if (retriesLeft > 0 && mayTryAgain(traffic, status)) {
+      else if (retriesLeft > 0 && mayRetry(traffic, status)) {
         queue.at(queue.nowMs + retryAfterMs, () => {
           this.attempt(traffic, number, record, retriesLeft - 1);
         });
       }
     };
     machine.process.schedule(0, () => {
-      this.take(machine, traffic, number, requestId, leftMs, answered);
+      this.deliver(machine, traffic, number, requestId, remainingMs, onAnswered);
     });
   }
 
-  private take(
+  private deliver(
     machine: FleetMachine,
     traffic: FleetTraffic,
     number: number,
     requestId: string,
     deadlineMs: number,
-    answered: (status: number, retryAfterMs: number) => void,
+    onAnswered: (status: number, retryAfterMs: number) => void,
   ): void {
     const sink: CallerSink = {
       answer: (head) => {
-        answered(head.statusCode, 0);
+        onAnswered(head.statusCode, 0);
       },
       body: () => undefined,
       end: () => undefined,
       breakOff: () => undefined,
       giveUp: (outcome) => {
-        const own = answerGivenUp(outcome);
-        answered(own.statusCode, own.retryAfterMs ?? 0);
+        const response = answerGivenUp(outcome);
+        onAnswered(response.statusCode, response.retryAfterMs ?? 0);
       },
     };
     const key = traffic.key(number);
-    const taken = machine.callers?.take(
+    const result = machine.callers?.take(
       {
         method: traffic.method,
         path: traffic.path(number),
@@ -146,11 +146,12 @@
       },
       sink,
     );
-    if (taken !== undefined && 'statusCode' in taken) answered(taken.statusCode, taken.retryAfterMs ?? 0);
+    if (result !== undefined && 'statusCode' in result)
+      onAnswered(result.statusCode, result.retryAfterMs ?? 0);
   }
 }
 
-/** The route of one kind of requests. */
+/** Returns the route definition of one kind of request. */
 export function routeOf({ name, service, method }: FleetTraffic): RouteDefinition {
   return {
     host: FLEET_HOST,
@@ -164,7 +165,7 @@
   };
 }
 
-function mayTryAgain({ method }: FleetTraffic, status: number): boolean {
+function mayRetry({ method }: FleetTraffic, status: number): boolean {
   if (FINAL_STATUSES.has(status)) return false;
   return method === 'GET' || NOT_RUN_STATUSES.has(status);
 }
--- a/lab/sim/fleet/fleet-links.ts
+++ b/lab/sim/fleet/fleet-links.ts
@@ -1,4 +1,4 @@
-/** Links between the sidecars of a simulated fleet: the same calls as over TCP, with a delay, cuts and lost peers. */
+/** Links between the sidecars of a simulated fleet: the same interface as over TCP, with delays, cuts and lost peers. */
 import type {
   Link,
   LinkClientHandlers,
@@ -13,25 +13,25 @@
 import type { SimNetwork } from '../sim-network.js';
 import type { SimProcess } from '../sim-process.js';
 
-/** Silence after which a peer that owes an answer counts as lost, and pause between looks, in ms. */
-const SILENCE_MS = 500;
-const LOOK_MS = 100;
+/** Time in ms without contact after which a peer that owes an answer counts as lost, and interval between checks. */
+const PEER_TIMEOUT_MS = 500;
+const CHECK_INTERVAL_MS = 100;
 
-/** Pause in ms after a failed attempt to connect, in which requests are refused at once. */
-const REDIAL_PAUSE_MS = 150;
+/** Time in ms after a failed connection attempt in which the peer counts as unreachable and requests are refused at once. */
+const REDIAL_DELAY_MS = 150;
 
-interface Listening {
+interface OpenListener {
   readonly process: SimProcess;
   readonly ports: LinkListenerPorts;
 }
 
-/** All links of a fleet. */
+/** All links and link listeners of a fleet. */
 export class FleetLinks {
-  private readonly listeners = new Map<string, Listening>();
+  private readonly listeners = new Map<string, OpenListener>();
 
   constructor(private readonly network: SimNetwork) {}
 
-  /** The listener of a process. */
+  /** Creates a link listener of a process. */
   listener(process: SimProcess, ports: LinkListenerPorts): LinkListener {
     let name = '';
     return {
@@ -46,34 +46,34 @@
     };
   }
 
-  /** A link of a process to an address. */
+  /** Creates a link from a process to an address. */
   dial(process: SimProcess, address: SocketAddress, handlers: LinkClientHandlers): Link {
     return new FleetLink(this, process, formatAddress(address), handlers);
   }
 
-  /** The listener at an address whose process is alive. */
-  at(address: string): Listening | null {
+  /** Returns the listener at an address if its process is alive, otherwise null. */
+  listenerAt(address: string): OpenListener | null {
     const listening = this.listeners.get(address);
     return listening?.process.alive === true ? listening : null;
   }
 
-  /** Whether two processes hear each other. */
-  passesBothWays(one: string, other: string): boolean {
+  /** Whether messages pass between two processes in both directions. */
+  areConnected(one: string, other: string): boolean {
     return one === other || (this.network.passes(one, other) && this.network.passes(other, one));
   }
 
-  /** Delivers to a process after a delay; never while the way there is cut. */
+  /** Delivers to a process after a delay; drops the message if the connection is cut then. */
   deliver(from: SimProcess, to: SimProcess, run: () => void): void {
     const { network } = this;
-    to.schedule(from === to ? 0 : network.delay(), () => {
+    to.schedule(from === to ? 0 : network.drawDelayMs(), () => {
       if (from === to || network.passes(from.name, to.name)) run();
     });
   }
 }
 
 class FleetLink implements Link {
-  private readonly underWay = new Set<FleetRequest>();
-  private refuseUntilMs = -Infinity;
+  private readonly inFlight = new Set<FleetRequest>();
+  private unreachableUntilMs = -Infinity;
   private stopped = false;
 
   constructor(
@@ -84,22 +84,22 @@
   ) {}
 
   get unreachable(): boolean {
-    return this.process.steadyMs() < this.refuseUntilMs;
+    return this.process.steadyMs() < this.unreachableUntilMs;
   }
 
   get outstanding(): number {
-    return this.underWay.size;
+    return this.inFlight.size;
   }
 
   request(head: RequestHead, body: Buffer, handlers: RequestHandlers): LinkRequest {
-    const peer = this.stopped ? null : this.links.at(this.address);
+    const peer = this.stopped ? null : this.links.listenerAt(this.address);
     const request = new FleetRequest(this.links, this.process, peer, handlers, () => {
-      this.underWay.delete(request);
+      this.inFlight.delete(request);
     });
-    this.underWay.add(request);
+    this.inFlight.add(request);
     if (peer === null) {
       this.process.schedule(0, () => {
-        this.refuseUntilMs = this.process.steadyMs() + REDIAL_PAUSE_MS;
+        this.unreachableUntilMs = this.process.steadyMs() + REDIAL_DELAY_MS;
         request.lost(false);
       });
     } else request.send(head, body);
@@ -107,7 +107,7 @@
   }
 
   probe(): void {
-    const peer = this.links.at(this.address);
+    const peer = this.links.listenerAt(this.address);
     if (peer === null) return;
     this.links.deliver(this.process, peer.process, () => {
       const status = peer.ports.status();
@@ -120,7 +120,7 @@
 
   stop(): void {
     this.stopped = true;
-    for (const request of [...this.underWay]) request.lost(true);
+    for (const request of [...this.inFlight]) request.lost(true);
   }
 }
 
@@ -128,16 +128,16 @@
 class FleetRequest implements LinkRequest {
   private accepted: AcceptedRequest | null = null;
   private ended = false;
-  private heardMs: number;
+  private lastContactMs: number;
 
   constructor(
     private readonly links: FleetLinks,
     private readonly process: SimProcess,
-    private readonly peer: Listening | null,
+    private readonly peer: OpenListener | null,
     private readonly handlers: RequestHandlers,
     private readonly forget: () => void,
   ) {
-    this.heardMs = process.steadyMs();
+    this.lastContactMs = process.steadyMs();
   }
 
   send(head: RequestHead, body: Buffer): void {
@@ -151,11 +151,11 @@
 
   cancel(): void {
     this.end();
-    this.tellPeer(() => this.accepted?.cancel());
+    this.sendToPeer(() => this.accepted?.cancel());
   }
 
   withdraw(): void {
-    this.tellPeer(() => this.accepted?.withdraw());
+    this.sendToPeer(() => this.accepted?.withdraw());
   }
 
   lost(sent: boolean): void {
@@ -169,57 +169,57 @@
     return wasOpen;
   }
 
-  private tellPeer(run: () => void): void {
+  private sendToPeer(run: () => void): void {
     if (this.peer !== null) this.links.deliver(this.process, this.peer.process, run);
   }
 
-  /** A peer that has died or cannot be heard answers nothing; its signs of life are not simulated one by one. */
-  private watch(peer: Listening): void {
+  /** Polls whether the peer is reachable, in place of simulated heartbeats; an ended or silent peer fails the request. */
+  private watch(peer: OpenListener): void {
     const { alive, frozen, name } = peer.process;
-    if (alive && !frozen && this.links.passesBothWays(this.process.name, name))
-      this.heardMs = this.process.steadyMs();
-    if (!alive || this.process.steadyMs() - this.heardMs > SILENCE_MS) {
+    if (alive && !frozen && this.links.areConnected(this.process.name, name))
+      this.lastContactMs = this.process.steadyMs();
+    if (!alive || this.process.steadyMs() - this.lastContactMs > PEER_TIMEOUT_MS) {
       this.lost(true);
       return;
     }
-    this.process.schedule(LOOK_MS, () => {
+    this.process.schedule(CHECK_INTERVAL_MS, () => {
       if (!this.ended) this.watch(peer);
     });
   }
 
-  private reply(peer: Listening): RequestReply {
-    const back = (run: () => void): void => {
+  private reply(peer: OpenListener): RequestReply {
+    const deliverBack = (run: () => void): void => {
       this.links.deliver(peer.process, this.process, run);
     };
-    const final = (run: () => void): void => {
-      back(() => {
+    const deliverFinal = (run: () => void): void => {
+      deliverBack(() => {
         if (this.end()) run();
       });
     };
     return {
       refuse: (head) => {
-        final(() => {
+        deliverFinal(() => {
           this.handlers.onRefusal(head);
         });
       },
       fail: (head) => {
-        final(() => {
+        deliverFinal(() => {
           this.handlers.onFailure(head);
         });
       },
       answer: (head, body) => {
-        if (head.moreFollows) back(() => !this.ended && this.handlers.onAnswer(head, body));
+        if (head.moreFollows) deliverBack(() => !this.ended && this.handlers.onAnswer(head, body));
         else
-          final(() => {
+          deliverFinal(() => {
             this.handlers.onAnswer(head, body);
           });
       },
       body: (chunk) => {
-        back(() => !this.ended && this.handlers.onBody(chunk));
+        deliverBack(() => !this.ended && this.handlers.onBody(chunk));
         return true;
       },
       end: () => {
-        final(() => {
+        deliverFinal(() => {
           this.handlers.onEnd();
         });
       },
--- a/lab/sim/fleet/fleet-machine.ts
+++ b/lab/sim/fleet/fleet-machine.ts
@@ -1,4 +1,4 @@
-/** One machine of a simulated fleet: a real sidecar on virtual time, and the back end beside it. */
+/** One machine of a simulated fleet: a real sidecar on virtual time, with its back end. */
 import type { BackendCalls, BackendHeartbeat, GrantResult } from '../../../src/sidecar/backend-report.js';
 import { PooledBackendClient, type BackendClient } from '../../../src/sidecar/backend-client.js';
 import type { BackendRequest, BackendRequestHandlers } from '../../../src/sidecar/backend-connection.js';
@@ -19,21 +19,21 @@
 import type { FleetLinks } from './fleet-links.js';
 import type { FleetService } from './fleet-spec.js';
 
-/** Pause between heartbeats of a back end, and until the next one while it lets keys go, in ms. */
+/** Interval between heartbeats of a back end, and the shorter one while it is releasing keys, in ms. */
 export const HEARTBEAT_MS = 500;
-const HURRIED_HEARTBEAT_MS = 80;
+const RELEASING_HEARTBEAT_MS = 80;
 
-/** Way between a daemon and the back end beside it, in ms. */
-const LOCAL_DELAY_MS = 0.2;
+/** One-way latency in ms between a daemon and its back end. */
+const LOCAL_LATENCY_MS = 0.2;
 
-/** Time in ms after which a daemon takes a call to the back end for unanswered. */
+/** Time in ms after which a call to the back end counts as unanswered. */
 const CALL_TIMEOUT_MS = 800;
 
 const LINKS_PORT = 2;
 const CALLERS_PORT = 3;
 const BACKEND_PORT = 4;
 
-/** What a machine needs of its world. */
+/** Dependencies of a machine. */
 export interface FleetMachinePorts {
   readonly directory: SimDirectory;
   readonly links: FleetLinks;
@@ -44,21 +44,21 @@
   readonly version: () => string;
 }
 
-/** A machine. */
+/** A machine with a sidecar and a back end. */
 export class FleetMachine {
   readonly process: SimProcess;
   node: SidecarNode | null = null;
   backend: FleetBackend | null = null;
-  /** Takes the requests of callers on this machine; null while its daemon does not listen. */
+  /** Entry point for callers on this machine; null while its daemon does not listen. */
   callers: CallerServerPorts | null = null;
-  /** Whether lives that begin from now on go by the same name. */
+  /** Whether incarnations that start from now on share one id. */
   sameId = false;
-  /** Time in ms after which a call that is sent now is carried out, without an answer; null for the usual way. */
+  /** Returns the delay in ms until a call sent now takes effect, without an answer; null for normal delivery. */
   heldUpMs: () => number | null = () => null;
-  /** Calls that were held up. */
+  /** Number of delayed calls. */
   callsHeldUp = 0;
-  /** Way of the next heartbeat, in ms, where it is to come late; null for the usual one. */
-  private nextWayMs: number | null = null;
+  /** Latency of the next heartbeat in ms; null for the normal one. */
+  private nextHeartbeatLatencyMs: number | null = null;
   private lives = 0;
 
   constructor(
@@ -71,7 +71,7 @@
     this.process = ports.directory.makeProcess(name);
   }
 
-  /** Starts the daemon; a back end that is up stays as it is. */
+  /** Starts the daemon; a running back end is unaffected. */
   async start(): Promise<void> {
     this.process.start();
     const { directory, log } = this.ports;
@@ -84,13 +84,13 @@
       calls: this.calls(),
       random: () => directory.random.fraction(),
       latencies: NO_LATENCIES,
-      backendListens: async () => await this.afterWay(() => this.backend !== null),
+      backendListens: async () => await this.afterLocalLatency(() => this.backend !== null),
       transport: this.transport(runtime),
     });
     this.node = started.unwrap();
   }
 
-  /** Ends the daemon without a word. */
+  /** Crashes the daemon. */
   crash(): void {
     this.process.crash();
     this.ports.directory.network.crashed(this.process);
@@ -98,7 +98,7 @@
     this.callers = null;
   }
 
-  /** Starts a new life of the back end. */
+  /** Starts a new incarnation of the back end. */
   startBackend(): void {
     this.lives += 1;
     const life = `${this.name}-life-${this.lives}`;
@@ -111,65 +111,65 @@
       },
     });
     this.backend = backend;
-    this.beat(backend);
+    this.runHeartbeats(backend);
   }
 
-  /** The back end falls silent: its address refuses nothing, and nothing answers there. */
+  /** Makes the back end unresponsive: connections are accepted and get no answers. */
   darkenBackend(): void {
     this.backend?.goDark();
   }
 
-  /** The back end ends and another life listens at once, so that no connection is refused. */
+  /** Replaces the back end by a new incarnation that listens at once, so that no connection is refused. */
   restartBackend(): void {
     this.backend?.end();
     this.startBackend();
   }
 
-  /** The back end says that it leaves, and ends a moment later. */
+  /** Makes the back end report that it is draining, and ends it after `afterMs`. */
   retireBackend(afterMs: number): void {
     const { queue } = this.ports.directory;
     const { backend } = this;
     if (backend === null) return;
     backend.draining = true;
-    this.tell(backend);
+    this.sendHeartbeat(backend);
     queue.at(queue.nowMs + afterMs, () => {
       this.endBackend();
     });
   }
 
-  /** The back end says in its heartbeats that it leaves, and serves on. */
+  /** Makes the back end report in its heartbeats that it is draining, and keep serving. */
   announceLeave(): void {
     const { backend } = this;
     if (backend === null) return;
     backend.draining = true;
-    this.tell(backend);
+    this.sendHeartbeat(backend);
   }
 
-  /** The back end says that it leaves, sends no more heartbeats, and serves on. */
+  /** Makes the back end announce its end, stop its heartbeats, and keep serving. */
   sayGoodbye(): void {
     const { backend } = this;
     if (backend === null) return;
     this.sayGoodbyeOf(backend);
   }
 
-  /** The goodbye of a life, which may have ended before it arrives. */
+  /** Sends the leave message of an incarnation, which may have ended before the message arrives. */
   sayGoodbyeOf(backend: FleetBackend): void {
     backend.saidGoodbye = true;
-    this.process.schedule(LOCAL_DELAY_MS, () => {
+    this.process.schedule(LOCAL_LATENCY_MS, () => {
       if (this.node === null) return;
       const { id, bornMs } = backend;
       void this.node.leave({ id, bornMs }).then(() => {
-        this.acknowledged(backend);
+        this.recordDrainAcknowledged(backend);
       });
     });
   }
 
-  /** The next heartbeat is on its way for so long. */
+  /** Sets the latency of the next heartbeat. */
   delayNextHeartbeat(ms: number): void {
-    this.nextWayMs = ms;
+    this.nextHeartbeatLatencyMs = ms;
   }
 
-  /** The back end ends, and is back after a while. */
+  /** Ends the back end and restarts it after `backAfterMs`. */
   endBackend(): void {
     const { queue } = this.ports.directory;
     const { backend } = this;
@@ -181,40 +181,40 @@
     });
   }
 
-  // ---- the back end beside the daemon
+  // ---- calls between the daemon and its back end
 
-  private beat(backend: FleetBackend): void {
+  private runHeartbeats(backend: FleetBackend): void {
     const { queue } = this.ports.directory;
     if (!backend.up || backend.saidGoodbye) return;
-    const next = backend.keys.leaving().length > 0 ? HURRIED_HEARTBEAT_MS : HEARTBEAT_MS;
+    const next = backend.keys.leaving().length > 0 ? RELEASING_HEARTBEAT_MS : HEARTBEAT_MS;
     queue.at(queue.nowMs + next, () => {
-      this.beat(backend);
+      this.runHeartbeats(backend);
     });
-    this.tell(backend);
+    this.sendHeartbeat(backend);
   }
 
-  private tell(backend: FleetBackend): void {
+  private sendHeartbeat(backend: FleetBackend): void {
     const { queue } = this.ports.directory;
     const sentMs = queue.nowMs;
     backend.sequence += 1;
-    const heartbeat = this.heartbeatOf(backend);
+    const heartbeat = this.createHeartbeat(backend);
     const deliver = (): void => {
       void this.node?.heartbeat(heartbeat).then((grant) => {
-        if (heartbeat.condition === 'draining') this.acknowledged(backend);
+        if (heartbeat.condition === 'draining') this.recordDrainAcknowledged(backend);
         if (backend.up) backend.keys.takeAnswer(grant, sentMs);
       });
     };
-    if (this.nextWayMs === null) this.process.schedule(LOCAL_DELAY_MS, deliver);
-    // What is on its way for long outlives the daemon that it was sent to.
-    else queue.at(queue.nowMs + this.nextWayMs, deliver);
-    this.nextWayMs = null;
+    if (this.nextHeartbeatLatencyMs === null) this.process.schedule(LOCAL_LATENCY_MS, deliver);
+    // A delayed heartbeat is not lost when the daemon that it was sent to ends.
+    else queue.at(queue.nowMs + this.nextHeartbeatLatencyMs, deliver);
+    this.nextHeartbeatLatencyMs = null;
   }
 
-  private acknowledged(backend: FleetBackend): void {
+  private recordDrainAcknowledged(backend: FleetBackend): void {
     this.ports.backend.judge.drainAcknowledged(backend.life, this.ports.directory.queue.nowMs);
   }
 
-  private heartbeatOf(backend: FleetBackend): BackendHeartbeat {
+  private createHeartbeat(backend: FleetBackend): BackendHeartbeat {
     const { holds, released } = backend.keys.report();
     return {
       id: backend.id,
@@ -234,18 +234,18 @@
   private calls(): BackendCalls {
     return {
       identify: async () =>
-        await this.afterWay(() => {
+        await this.afterLocalLatency(() => {
           if (this.backend === null) return null;
           const { id, draining, saidGoodbye } = this.backend;
           return { id, bornMs: null, isHealthy: !draining && !saidGoodbye, coldLeftMs: 0 };
         }),
       grant: async (id, range, holdMs) =>
-        await this.order<GrantResult>('not-sent', 'unanswered', (backend) => {
+        await this.sendCall<GrantResult>('not-sent', 'unanswered', (backend) => {
           if (backend.id !== id) return 'misdirected';
           return backend.keys.grant({ ...range, holdMs }) ? 'granted' : 'superseded';
         }),
       release: async (id, range) =>
-        await this.order<string | null>(null, null, (backend) => {
+        await this.sendCall<string | null>(null, null, (backend) => {
           if (backend.id !== id) return null;
           backend.keys.release({ ...range, holdMs: 0 });
           return backend.keys.nextHandover();
@@ -253,17 +253,17 @@
     };
   }
 
-  /** A call that changes what the back end holds. One that is held up outlives the daemon that sent it. */
-  private async order<T>(notSent: T, unanswered: T, carryOut: (backend: FleetBackend) => T): Promise<T> {
-    const heldUpMs = this.heldUpMs();
+  /** Sends a call that changes the keys of the back end. A delayed call takes effect even if the daemon has ended. */
+  private async sendCall<T>(notSent: T, unanswered: T, execute: (backend: FleetBackend) => T): Promise<T> {
+    const delayMs = this.heldUpMs();
     const { backend } = this;
-    if (heldUpMs === null || backend === null) {
-      return await this.afterWay(() => (this.backend === null ? notSent : carryOut(this.backend)));
+    if (delayMs === null || backend === null) {
+      return await this.afterLocalLatency(() => (this.backend === null ? notSent : execute(this.backend)));
     }
     this.callsHeldUp += 1;
     const { queue } = this.ports.directory;
-    queue.at(queue.nowMs + heldUpMs, () => {
-      if (backend.up) carryOut(backend);
+    queue.at(queue.nowMs + delayMs, () => {
+      if (backend.up) execute(backend);
     });
     return await new Promise((resolve) => {
       this.process.schedule(CALL_TIMEOUT_MS, () => {
@@ -272,15 +272,15 @@
     });
   }
 
-  private async afterWay<T>(look: () => T): Promise<T> {
+  private async afterLocalLatency<T>(read: () => T): Promise<T> {
     return await new Promise((resolve) => {
-      this.process.schedule(LOCAL_DELAY_MS, () => {
-        resolve(look());
+      this.process.schedule(LOCAL_LATENCY_MS, () => {
+        resolve(read());
       });
     });
   }
 
-  // ---- the daemon's ways in and out
+  // ---- transport of the daemon
 
   private transport(runtime: Runtime): SidecarTransport {
     const { links } = this.ports;
@@ -308,20 +308,20 @@
     const pool: RequestPool = {
       opened: 0,
       run: (request, handlers) => {
-        let breakOff = (): void => undefined;
+        let cancelAtBackend = (): void => undefined;
         let cancelled = false;
-        const back = (run: () => void): void => {
+        const deliverBack = (run: () => void): void => {
           if (!process.alive) return;
-          process.schedule(LOCAL_DELAY_MS, () => {
+          process.schedule(LOCAL_LATENCY_MS, () => {
             if (!cancelled) run();
           });
         };
-        this.atBackend(
+        this.runAtBackend(
           request,
-          delayedHandlers(handlers, back),
-          (end) => (breakOff = end),
+          delayedHandlers(handlers, deliverBack),
+          (end) => (cancelAtBackend = end),
           () => {
-            back(() => {
+            deliverBack(() => {
               onRefused();
               handlers.onBroken('broken', 'connect ECONNREFUSED', false);
             });
@@ -330,7 +330,7 @@
         return {
           cancel: () => {
             cancelled = true;
-            breakOff();
+            cancelAtBackend();
           },
         };
       },
@@ -339,14 +339,14 @@
     return new PooledBackendClient(pool, DEFAULT_HEADER_DIALECT, runtime);
   }
 
-  private atBackend(
+  private runAtBackend(
     request: BackendRequest,
     handlers: BackendRequestHandlers,
-    onTaken: (breakOff: () => void) => void,
+    onAccepted: (cancel: () => void) => void,
     refuse: () => void,
   ): void {
     if (this.backend === null) refuse();
-    else onTaken(this.backend.take(request, handlers));
+    else onAccepted(this.backend.handleRequest(request, handlers));
   }
 
   private settings(): SidecarSettings {
@@ -377,26 +377,26 @@
 
 function delayedHandlers(
   handlers: BackendRequestHandlers,
-  back: (run: () => void) => void,
+  deliverBack: (run: () => void) => void,
 ): BackendRequestHandlers {
   return {
     onAnswer: (answer) => {
-      back(() => {
+      deliverBack(() => {
         handlers.onAnswer(answer);
       });
     },
     onBody: (chunk) => {
-      back(() => {
+      deliverBack(() => {
         handlers.onBody(chunk);
       });
     },
     onEnd: () => {
-      back(() => {
+      deliverBack(() => {
         handlers.onEnd();
       });
     },
     onBroken: (reason, detail, sent) => {
-      back(() => {
+      deliverBack(() => {
         handlers.onBroken(reason, detail, sent);
       });
     },
--- a/lab/sim/fleet/fleet-spec.ts
+++ b/lab/sim/fleet/fleet-spec.ts
@@ -1,4 +1,4 @@
-/** What a simulated fleet consists of, and what its callers ask for. Times are in ms. */
+/** Specification of a simulated fleet and its traffic. Times are in ms. */
 import type { GrantMode } from '../../../src/directory/directory-state.js';
 
 /** A service of the fleet. */
@@ -6,29 +6,29 @@
   readonly name: string;
   readonly keyed: boolean;
   readonly backends: number;
-  /** How its keys are granted. */
+  /** Mode in which its keys are granted. */
   readonly grantMode: GrantMode;
 }
 
-/** Requests of one kind. */
+/** Traffic of one kind of request. */
 export interface FleetTraffic {
   readonly name: string;
   readonly service: string;
   readonly method: 'GET' | 'POST';
-  /** Path of the next request; the same each time for requests that come again. */
+  /** Path of the request with the given number; a constant path models a repeated request. */
   readonly path: (number: number) => string;
-  /** Key of the next request; null where its service is not divided by key. */
+  /** Key of the request with the given number; null if the service is not keyed. */
   readonly key: (number: number) => number | null;
-  /** Mean pause between two of them. */
+  /** Mean interval between requests. */
   readonly everyMs: number;
-  /** From when on they come. */
+  /** Time of the first request. */
   readonly fromMs: number;
   readonly deadlineMs: number;
-  /** Mean time at the back end. */
+  /** Mean processing time at the back end. */
   readonly workMs: number;
-  /** Whether each back end that begins one ends when its work is done; or only those of some versions. */
+  /** Whether a back end ends after processing such a request, or the back-end versions that do. */
   readonly endsBackend: boolean | readonly string[];
-  /** How often its caller tries again, at once. */
+  /** Maximum number of retries by the caller, each as soon as the answer allows. */
   readonly retries: number;
 }
 
@@ -36,10 +36,10 @@
 export interface FleetSpec {
   readonly services: readonly FleetService[];
   readonly traffic: readonly FleetTraffic[];
-  /** Time after which a back end that has ended is back. */
+  /** Time after which an ended back end restarts. */
   readonly backAfterMs: number;
-  /** Places at a back end. */
+  /** Slots of a back end. */
   readonly slots: number;
-  /** Mean pause between ends of back ends that nothing caused; null for none. */
+  /** Interval between spontaneous ends of back ends; null for none. */
   readonly endsByItselfEveryMs: number | null;
 }
--- a/lab/sim/fleet/fleet-world.ts
+++ b/lab/sim/fleet/fleet-world.ts
@@ -1,6 +1,6 @@
 /**
- * A whole fleet on virtual time: real directory replicas and real sidecars, simulated links, callers and back ends. It
- * shows what daemons do together when a back end ends, most of all under a request that ends every one that runs it.
+ * A fleet on virtual time: real directory replicas and sidecars, simulated links, callers and back ends. It tests how the
+ * daemons react when a back end ends, in particular under a request that ends every back end that runs it.
  */
 import type { ConfigurationItem, GrantMode } from '../../../src/directory/directory-state.js';
 import { SILENT_EVENT_LOG, type EventLog } from '../../../src/telemetry/event-log.js';
@@ -18,28 +18,28 @@
 const TOLERATED_LOSSES = 1;
 const ZONES = ['zone-1', 'zone-2'] as const;
 
-/** Bounds that the judge goes by, as the daemons' settings give them, and pause between its looks, in ms. */
+/** Time limits of the judge, equal to the daemons' settings, and interval between its checks, in ms. */
 const DRAIN_MS = 2_000;
 const APPLY_MS = 2_000;
 const EVACUATION_MS = 5_000;
-const LOOK_MS = 50;
+const CHECK_INTERVAL_MS = 50;
 
-/** When the configuration is there and every back end has its keys, in ms; traffic should begin after that. */
+/** Time in ms at which the configuration is in force and every back end holds its keys; earliest start of traffic. */
 export const FLEET_READY_MS = 6_000;
 
-/** When the first configuration is proposed, and pause until it is proposed again, in ms. */
+/** Time at which the first configuration is proposed, and interval between retries, in ms. */
 const CONFIGURE_AT_MS = 2_000;
-const CONFIGURE_RETRY_MS = 300;
+const CONFIGURE_RETRY_DELAY_MS = 300;
 
-/** The end of a back end. */
-export interface FleetEnd {
+/** The end of a back-end incarnation while it was running requests. */
+export interface BackendEnd {
   readonly instance: string;
   readonly atMs: number;
-  /** Kinds of requests that ran there. */
+  /** Kinds of the requests that it was running. */
   readonly under: readonly string[];
 }
 
-/** The fleet. */
+/** A simulated fleet. */
 export class FleetWorld {
   readonly queue = new EventQueue();
   readonly random: Random;
@@ -48,7 +48,7 @@
   readonly callers: FleetCallers;
   readonly runs: FleetRun[] = [];
   private readonly judge = new SoakJudge(DRAIN_MS, APPLY_MS, EVACUATION_MS, () => true);
-  /** Version of the software of back ends that start from now on. */
+  /** Software version of back ends that start from now on. */
   version = 'v1';
   private readonly grantModes = new Map<string, GrantMode>();
   private configurationVersion = 1;
@@ -93,12 +93,12 @@
     this.callers = new FleetCallers(this.queue, this.random, this.machines);
   }
 
-  /** Promises that were broken: owners of keys, runs of what must not be repeated. */
+  /** Broken guarantees, such as keys with two owners and repeated runs of non-idempotent requests. */
   get violations(): readonly SoakViolation[] {
     return this.judge.violations;
   }
 
-  /** Starts everything, and waits until it is ready for traffic. */
+  /** Starts all daemons and back ends and runs until the fleet is ready for traffic. */
   async start(): Promise<void> {
     await this.directory.start();
     for (const machine of this.machines) {
@@ -106,33 +106,33 @@
       machine.startBackend();
     }
     this.queue.at(CONFIGURE_AT_MS, () => {
-      this.sendUntilTaken(this.items(), () => undefined);
+      this.proposeUntilAccepted(this.items(), () => undefined);
     });
-    this.look();
+    this.checkPeriodically();
     await this.runUntil(FLEET_READY_MS);
   }
 
-  /** Lets all kinds of requests come until a time, and back ends end by themselves where the spec says so. */
+  /** Starts traffic of all kinds until `untilMs`, and spontaneous ends of back ends if the spec has them. */
   startTraffic(untilMs: number): void {
     for (const traffic of this.spec.traffic) this.callers.start(traffic, untilMs);
-    const everyMs = this.spec.endsByItselfEveryMs;
-    if (everyMs === null) return;
+    const intervalMs = this.spec.endsByItselfEveryMs;
+    if (intervalMs === null) return;
     const next = (): void => {
       if (this.queue.nowMs >= untilMs) return;
-      // One that works is the harder case: whatever it works on was there when it ended.
+      // Prefer a busy back end: the requests in flight there may be suspected of having ended it.
       const busy = this.machines.filter(({ backend }) => backend?.busy === true);
       this.random.pick(busy.length > 0 ? busy : this.machines).endBackend();
-      this.queue.at(this.queue.nowMs + everyMs, next);
+      this.queue.at(this.queue.nowMs + intervalMs, next);
     };
-    this.queue.at(this.queue.nowMs + everyMs, next);
+    this.queue.at(this.queue.nowMs + intervalMs, next);
   }
 
-  /** Runs events up to a time, each followed by everything that it has set off without time passing. */
+  /** Runs events up to `untilMs`, after each also the microtasks and immediates that it queued. */
   async runUntil(untilMs: number): Promise<void> {
     while (this.queue.runNext(untilMs)) await new Promise((resolve) => setImmediate(resolve));
   }
 
-  /** Cuts a machine off from all replicas, both ways; other machines reach it. */
+  /** Cuts a machine off from all replicas in both directions; other machines still reach it. */
   cutFromDirectory({ name }: FleetMachine): void {
     const { network, replicas } = this.directory;
     for (const replica of replicas) {
@@ -141,13 +141,13 @@
     }
   }
 
-  /** What a machine sends to the replicas is held up; it hears them. */
+  /** Delays everything that a machine sends to the replicas; it still receives from them. */
   muteToDirectory({ name }: FleetMachine): void {
     const { network, replicas } = this.directory;
     for (const replica of replicas) network.cut(name, replica.process.name);
   }
 
-  /** What was held up arrives, and from now on the machine hears nothing of the replicas. */
+  /** Lets the delayed messages to the replicas arrive, and stops the machine from receiving from them. */
   deafenToDirectory({ name }: FleetMachine): void {
     const { network, replicas } = this.directory;
     for (const { process } of replicas) {
@@ -156,7 +156,7 @@
     }
   }
 
-  /** All replicas and all daemons lose power at one moment; back ends live on. Each is back after a time of its own. */
+  /** Crashes all replicas and daemons at once; back ends keep running. Each restarts after a separately drawn time. */
   losePower(downMs: () => number): void {
     const { replicas } = this.directory;
     for (const replica of replicas) this.directory.strike('crash', replica, downMs());
@@ -169,7 +169,7 @@
     }
   }
 
-  /** The operator changes how the keys of a service are granted; back ends go by that once it is acknowledged. */
+  /** Changes the grant mode of a service; back ends follow it once the change is acknowledged. */
   changeGrantMode(service: string, grantMode: GrantMode): void {
     this.configurationVersion += 1;
     const version = this.configurationVersion;
@@ -177,32 +177,32 @@
       if (item.kind !== 'service' || item.name !== service || item.definition === null) return item;
       return { ...item, version, definition: { ...item.definition, grantMode } };
     });
-    this.sendUntilTaken(items, () => {
+    this.proposeUntilAccepted(items, () => {
       if (version === this.configurationVersion) this.grantModes.set(service, grantMode);
     });
   }
 
-  /** The leader begins to move keys of a service; whether there was one. */
+  /** Proposes a move of keys of a service to the leader; returns whether there is a leader. */
   beginMove(service: string, from: number, to: number, target: string): boolean {
     const leader = this.directory.leader();
     void leader?.propose({ kind: 'begin-range-moves', service, moves: [{ from, to, target }] });
     return leader !== null;
   }
 
-  /** The leader ends a registration; the daemon there registers anew. */
+  /** Proposes the end of a registration to the leader; the daemon concerned registers again. */
   endRegistration(id: string): void {
     const leader = this.directory.leader();
     const session = leader?.state.instances.get(id)?.session;
     if (session !== undefined) void leader?.propose({ kind: 'unregister', sessions: [{ id, session }] });
   }
 
-  /** Ends all cuts. */
+  /** Removes all cuts. */
   heal(): void {
     this.directory.network.healAll();
   }
 
-  /** Ends of back ends, in the order of time. */
-  ends(): readonly FleetEnd[] {
+  /** Ends of busy back ends, ordered by time. */
+  ends(): readonly BackendEnd[] {
     const ends = new Map<string, { instance: string; atMs: number; under: string[] }>();
     for (const { end, instance, endMs, traffic } of this.runs) {
       if (end !== 'backend-ended') continue;
@@ -213,13 +213,13 @@
     return [...ends.values()].sort((left, right) => left.atMs - right.atMs);
   }
 
-  /** Share of the requests of one kind that were served, among those that came in a span of time. */
+  /** Fraction of served requests of one kind, among those sent in a time span. */
   servedShare(traffic: string, fromMs = 0, untilMs = Infinity): number {
     const sent = this.requestsOf(traffic).filter(({ atMs }) => atMs >= fromMs && atMs < untilMs);
     return sent.filter(({ served }) => served).length / Math.max(1, sent.length);
   }
 
-  /** Tries that came in at one machine. */
+  /** Callers' attempts at one machine. */
   triesAt(machine: string): readonly FleetTry[] {
     return this.callers.requests.flatMap(({ tries }) => tries.filter((one) => one.machine === machine));
   }
@@ -229,15 +229,15 @@
     return this.callers.requests.filter((request) => request.traffic === traffic);
   }
 
-  /** Runs of one kind that began after a time. */
+  /** Runs of one kind of request that started after `sinceMs`. */
   runsSince(traffic: string, sinceMs: number): readonly FleetRun[] {
     return this.runs.filter((run) => run.traffic === traffic && run.atMs > sinceMs);
   }
 
-  private look(): void {
+  private checkPeriodically(): void {
     this.judge.look(this.queue.nowMs);
-    this.queue.at(this.queue.nowMs + LOOK_MS, () => {
-      this.look();
+    this.queue.at(this.queue.nowMs + CHECK_INTERVAL_MS, () => {
+      this.checkPeriodically();
     });
   }
 
@@ -253,21 +253,21 @@
     return traffic;
   }
 
-  /** Sends a change again and again, as an operator does. */
-  private sendUntilTaken(items: readonly ConfigurationItem[], onTaken: () => void): void {
-    const again = (): void => {
-      this.queue.at(this.queue.nowMs + CONFIGURE_RETRY_MS, () => {
-        this.sendUntilTaken(items, onTaken);
+  /** Proposes a change until it is accepted, as an operator does. */
+  private proposeUntilAccepted(items: readonly ConfigurationItem[], onAccepted: () => void): void {
+    const retry = (): void => {
+      this.queue.at(this.queue.nowMs + CONFIGURE_RETRY_DELAY_MS, () => {
+        this.proposeUntilAccepted(items, onAccepted);
       });
     };
     const leader = this.directory.leader();
     if (leader === null) {
-      again();
+      retry();
       return;
     }
     void leader.propose({ kind: 'configure-items', items }).then((outcome) => {
-      if (outcome.ok && outcome.val.kind === 'done') onTaken();
-      else again();
+      if (outcome.ok && outcome.val.kind === 'done') onAccepted();
+      else retry();
     });
   }
 
--- a/lab/sim/fleet/key-troubles.ts
+++ b/lab/sim/fleet/key-troubles.ts
@@ -1,6 +1,6 @@
 /**
- * Troubles that bring processes, replicas or all of them back with older knowledge of who owns which keys, drawn at random
- * beside moves of keys.
+ * Random faults, concurrent with moves of keys, after which processes, replicas or all of them resume with outdated
+ * knowledge of the owners of keys.
  */
 import type { KeyRange } from '../../../src/directory/directory-state.js';
 import { lifeName } from '../../../src/model/backend-life.js';
@@ -9,177 +9,178 @@
 import type { FleetMachine } from './fleet-machine.js';
 import type { FleetWorld } from './fleet-world.js';
 
-/** Mean pauses between moves of keys, and between troubles, in ms. */
-const MOVE_EVERY_MS = 250;
-const TROUBLE_EVERY_MS = 600;
+/** Mean intervals between moves of keys, and between faults, in ms. */
+const MEAN_MOVE_INTERVAL_MS = 250;
+const MEAN_FAULT_INTERVAL_MS = 600;
 
-/** Share of the calls that are held up while calls are, and within which time in ms they are carried out. */
-const HELD_UP_SHARE = 0.4;
-const LATEST_CALL_MS = 12_000;
+/** Fraction of calls delayed during a `calls-held-up` fault, and the maximum delay in ms until they take effect. */
+const DELAYED_CALL_PROBABILITY = 0.4;
+const MAX_CALL_DELAY_MS = 12_000;
 
-/** A span of time in ms to draw from. */
-interface Span {
-  readonly shortestMs: number;
-  readonly longestMs: number;
+/** A range of durations in ms to draw from. */
+interface DurationRange {
+  readonly minMs: number;
+  readonly maxMs: number;
 }
 
-const HELD_UP_FOR: Span = { shortestMs: 500, longestMs: 3_000 };
-const POWER_LOST_FOR: Span = { shortestMs: 300, longestMs: 900 };
-const DAEMON_DOWN_FOR: Span = { shortestMs: 20, longestMs: 1_200 };
-const REPLICA_DOWN_FOR: Span = { shortestMs: 300, longestMs: 1_500 };
-const DISK_STALLS_FOR: Span = { shortestMs: 200, longestMs: 1_800 };
-const CUT_FOR: Span = { shortestMs: 200, longestMs: 1_500 };
-const HEARTBEAT_LATE_BY: Span = { shortestMs: 300, longestMs: 2_000 };
+const CALL_DELAY_DURATION: DurationRange = { minMs: 500, maxMs: 3_000 };
+const POWER_LOSS_DURATION: DurationRange = { minMs: 300, maxMs: 900 };
+const DAEMON_DOWNTIME: DurationRange = { minMs: 20, maxMs: 1_200 };
+const REPLICA_DOWNTIME: DurationRange = { minMs: 300, maxMs: 1_500 };
+const DISK_STALL_DURATION: DurationRange = { minMs: 200, maxMs: 1_800 };
+const CUT_DURATION: DurationRange = { minMs: 200, maxMs: 1_500 };
+const HEARTBEAT_LATENCY: DurationRange = { minMs: 300, maxMs: 2_000 };
 
-/** A kind of trouble. */
-export type KeyTroubleKind = keyof typeof TROUBLES;
+/** A kind of fault. */
+export type KeyFaultKind = keyof typeof FAULTS;
 
-type Bring = (troubles: KeyTroubles) => void;
+type InjectFault = (faults: KeyFaults) => void;
 
-const TROUBLES = {
-  'calls-held-up': (troubles) => {
-    troubles.holdUpCalls();
+const FAULTS = {
+  'calls-held-up': (faults) => {
+    faults.delayCalls();
   },
-  'power-lost': (troubles) => {
-    troubles.losePower();
+  'power-lost': (faults) => {
+    faults.losePower();
   },
-  'daemon-killed': (troubles) => {
-    troubles.killDaemon();
+  'daemon-killed': (faults) => {
+    faults.killDaemon();
   },
-  'replica-killed': (troubles) => {
-    troubles.strikeReplica('crash', REPLICA_DOWN_FOR);
+  'replica-killed': (faults) => {
+    faults.injectReplicaFault('crash', REPLICA_DOWNTIME);
   },
-  'replica-cut': (troubles) => {
-    troubles.strikeReplica('cut', CUT_FOR);
+  'replica-cut': (faults) => {
+    faults.injectReplicaFault('cut', CUT_DURATION);
   },
-  'replica-mute': (troubles) => {
-    troubles.strikeReplica('mute', CUT_FOR);
+  'replica-mute': (faults) => {
+    faults.injectReplicaFault('mute', CUT_DURATION);
   },
-  'disk-lost': (troubles) => {
-    troubles.loseDisk();
+  'disk-lost': (faults) => {
+    faults.loseDisk();
   },
-  'disk-stalled': (troubles) => {
-    troubles.stallDisk();
+  'disk-stalled': (faults) => {
+    faults.stallDisk();
   },
-  'daemon-mute': (troubles) => {
-    troubles.cutDaemon('mute');
+  'daemon-mute': (faults) => {
+    faults.cutDaemonOneWay('mute');
   },
-  'daemon-deaf': (troubles) => {
-    troubles.cutDaemon('deaf');
+  'daemon-deaf': (faults) => {
+    faults.cutDaemonOneWay('deaf');
   },
-  'back-end-ended': (troubles) => {
-    troubles.machine().endBackend();
+  'back-end-ended': (faults) => {
+    faults.machine().endBackend();
   },
-  'back-end-reborn': (troubles) => {
-    troubles.rebear();
+  'back-end-reborn': (faults) => {
+    faults.restartBackend();
   },
-  'grant-mode-changed': (troubles) => {
-    troubles.changeGrantMode();
+  'grant-mode-changed': (faults) => {
+    faults.changeGrantMode();
   },
-} as const satisfies Record<string, Bring>;
+} as const satisfies Record<string, InjectFault>;
 
-/** All kinds. */
-export const KEY_TROUBLES = Object.keys(TROUBLES) as readonly KeyTroubleKind[];
+/** All kinds of faults. */
+export const KEY_FAULT_KINDS = Object.keys(FAULTS) as readonly KeyFaultKind[];
 
-/** Brings troubles to the keyed service of a fleet. */
-export class KeyTroubles {
-  /** What was brought, in order. */
-  readonly brought: string[] = [];
+/** Injects faults into the keyed service of a fleet. */
+export class KeyFaults {
+  /** Injected faults with their times, in order. */
+  readonly injected: string[] = [];
 
   constructor(
     private readonly world: FleetWorld,
     private readonly service: string,
     private readonly random: Random,
-    private readonly kinds: readonly KeyTroubleKind[] = KEY_TROUBLES,
+    private readonly kinds: readonly KeyFaultKind[] = KEY_FAULT_KINDS,
   ) {}
 
-  /** Moves keys and brings troubles until a time. */
+  /** Moves keys and injects faults until `untilMs`. */
   start(untilMs: number): void {
-    this.repeat(MOVE_EVERY_MS, untilMs, () => {
-      this.move();
+    this.repeat(MEAN_MOVE_INTERVAL_MS, untilMs, () => {
+      this.moveKeys();
     });
-    this.repeat(TROUBLE_EVERY_MS, untilMs, () => {
+    this.repeat(MEAN_FAULT_INTERVAL_MS, untilMs, () => {
       const kind = this.random.pick(this.kinds);
-      this.brought.push(`${Math.round(this.world.queue.nowMs)} ${kind}`);
-      TROUBLES[kind](this);
+      this.injected.push(`${Math.round(this.world.queue.nowMs)} ${kind}`);
+      FAULTS[kind](this);
     });
   }
 
-  // ---- what the kinds do
+  // ---- faults
 
-  /** A machine of the service. */
+  /** Picks a machine of the service. */
   machine(): FleetMachine {
     return this.random.pick(this.world.machines.filter(({ service }) => service.name === this.service));
   }
 
-  /** Calls to one back end are held up for a while. */
-  holdUpCalls(): void {
+  /** Delays calls to one back end for a while. */
+  delayCalls(): void {
     const machine = this.machine();
     machine.heldUpMs = () => {
-      return this.random.fraction() < HELD_UP_SHARE ? this.random.below(LATEST_CALL_MS) : null;
+      return this.random.fraction() < DELAYED_CALL_PROBABILITY ? this.random.below(MAX_CALL_DELAY_MS) : null;
     };
-    this.later(HELD_UP_FOR, () => {
+    this.runLater(CALL_DELAY_DURATION, () => {
       machine.heldUpMs = () => null;
     });
   }
 
-  /** All replicas and daemons lose power. */
+  /** Crashes all replicas and daemons at once. */
   losePower(): void {
-    this.world.losePower(() => this.draw(POWER_LOST_FOR));
+    this.world.losePower(() => this.drawDurationMs(POWER_LOSS_DURATION));
   }
 
-  /** A daemon is killed, and is back. */
+  /** Kills a daemon and restarts it. */
   killDaemon(): void {
     const machine = this.machine();
     if (machine.node === null) return;
     machine.crash();
-    this.later(DAEMON_DOWN_FOR, () => {
+    this.runLater(DAEMON_DOWNTIME, () => {
       if (machine.node === null) void machine.start();
     });
   }
 
-  /** A fault strikes a replica. */
-  strikeReplica(fault: 'crash' | 'cut' | 'mute', span: Span): void {
-    this.world.directory.strike(fault, this.replica(), this.draw(span));
+  /** Injects a fault into a replica. */
+  injectReplicaFault(fault: 'crash' | 'cut' | 'mute', duration: DurationRange): void {
+    this.world.directory.strike(fault, this.replica(), this.drawDurationMs(duration));
   }
 
-  /** A replica loses its disk, where every other one holds all that is committed: one loss at a time is tolerated. */
+  /** Makes a replica lose its disk, if all replicas hold all committed entries: one loss at a time is tolerated. */
   loseDisk(): void {
     const { directory } = this.world;
-    if (directory.isWhole()) directory.strike('lose-disk', this.replica(), this.draw(REPLICA_DOWN_FOR));
+    if (directory.isFullyReplicated())
+      directory.strike('lose-disk', this.replica(), this.drawDurationMs(REPLICA_DOWNTIME));
   }
 
-  /** A disk answers late. */
+  /** Stalls the disk of a replica. */
   stallDisk(): void {
-    this.replica().disk.stallFor(this.draw(DISK_STALLS_FOR));
+    this.replica().disk.stallFor(this.drawDurationMs(DISK_STALL_DURATION));
   }
 
-  /** A daemon and the replicas hear each other in one direction only. */
-  cutDaemon(how: 'mute' | 'deaf'): void {
+  /** Cuts the connection between a daemon and the replicas in one direction. */
+  cutDaemonOneWay(direction: 'mute' | 'deaf'): void {
     const machine = this.machine();
-    if (how === 'mute') this.world.muteToDirectory(machine);
+    if (direction === 'mute') this.world.muteToDirectory(machine);
     else this.world.deafenToDirectory(machine);
-    this.later(CUT_FOR, () => {
+    this.runLater(CUT_DURATION, () => {
       this.world.heal();
     });
   }
 
-  /** A back end ends and begins again at once, and tells so late. */
-  rebear(): void {
+  /** Restarts a back end at once, with a late first heartbeat of the new incarnation. */
+  restartBackend(): void {
     const machine = this.machine();
-    machine.delayNextHeartbeat(this.draw(HEARTBEAT_LATE_BY));
+    machine.delayNextHeartbeat(this.drawDurationMs(HEARTBEAT_LATENCY));
     machine.restartBackend();
   }
 
-  /** Keys are granted the other way from now on. */
+  /** Sets a randomly drawn grant mode. */
   changeGrantMode(): void {
     this.world.changeGrantMode(this.service, this.random.below(2) === 0 ? 'heartbeat' : 'invoke');
   }
 
-  // ---- drawing
+  // ---- random choices
 
-  private move(): void {
-    const range = this.ownedRange();
+  private moveKeys(): void {
+    const range = this.randomOwnedRange();
     const target = this.machine().backend;
     if (range === null || target === null) return;
     const from = range.from + this.random.below(range.to - range.from + 1);
@@ -187,7 +188,7 @@
     this.world.beginMove(this.service, from, to, lifeName(target));
   }
 
-  private ownedRange(): KeyRange | null {
+  private randomOwnedRange(): KeyRange | null {
     const ranges = this.world.directory.leader()?.state.ranges.get(this.service) ?? [];
     const owned = ranges.filter(({ owner, movingTo }) => owner !== null && movingTo === null);
     return owned.length === 0 ? null : this.random.pick(owned);
@@ -197,21 +198,21 @@
     return this.random.pick(this.world.directory.replicas);
   }
 
-  private draw({ shortestMs, longestMs }: Span): number {
-    return shortestMs + this.random.below(longestMs - shortestMs);
+  private drawDurationMs({ minMs, maxMs }: DurationRange): number {
+    return minMs + this.random.below(maxMs - minMs);
   }
 
-  private later(span: Span, run: () => void): void {
+  private runLater(delay: DurationRange, run: () => void): void {
     const { queue } = this.world;
-    queue.at(queue.nowMs + this.draw(span), run);
+    queue.at(queue.nowMs + this.drawDurationMs(delay), run);
   }
 
-  private repeat(everyMs: number, untilMs: number, run: () => void): void {
+  private repeat(meanIntervalMs: number, untilMs: number, run: () => void): void {
     const { queue } = this.world;
     const next = (): void => {
       if (queue.nowMs >= untilMs) return;
       run();
-      queue.at(queue.nowMs + this.random.exponential(everyMs), next);
+      queue.at(queue.nowMs + this.random.exponential(meanIntervalMs), next);
     };
     next();
   }
--- a/lab/sim/guard-table.ts
+++ b/lab/sim/guard-table.ts
@@ -1,15 +1,15 @@
-/** Shows that each guard is needed: without it, some scenario breaks an invariant within a stated number of seeds. */
+/** Shows that each guard is needed: without it, a scenario breaks an invariant within a given number of seeds. */
 import { GUARD_NAMES, GUARD_PURPOSE, type GuardName } from './sim-guards.js';
 import { runTasks } from './seed-runner.js';
 
-/** Where the absence of a guard shows. */
+/** Scenario that detects the absence of a guard. */
 interface GuardCase {
   readonly scenario: string;
-  /** Seeds 1 to this are tried. */
+  /** Number of seeds tried, starting at 1. */
   readonly seeds: number;
 }
 
-/** The scenario that shows each guard. */
+/** Scenario and number of seeds that detect the absence of each guard. */
 export const GUARD_CASES: Readonly<Record<GuardName, GuardCase>> = {
   'vote-is-synced': { scenario: 'everything', seeds: 400 },
   'log-is-synced': { scenario: 'second-failure', seeds: 48 },
@@ -24,8 +24,8 @@
 };
 
 /**
- * Guards whose absence no scenario has shown yet: they want two replicas to fail in ways that the schedules do not
- * bring about. `npm run guards` reports them as not noticed; see docs/PROMISES.md.
+ * Guards whose absence no scenario detects yet: they matter only when two replicas fail in ways that the schedules do not
+ * produce. `npm run guards` reports them as not noticed; see docs/PROMISES.md.
  */
 export const UNNOTICED_GUARDS: readonly GuardName[] = [
   'vote-is-synced',
@@ -33,25 +33,25 @@
   'new-identity-after-lost-disk',
 ];
 
-/** What was found for one guard. */
+/** Result for one guard. */
 export interface GuardFinding {
   readonly guard: GuardName;
   readonly purpose: string;
   readonly scenario: string;
-  /** First seed that shows it, or null when none of those tried does. */
+  /** First seed that breaks an invariant without the guard, or null if none of those tried does. */
   readonly seed: number | null;
   readonly invariant: string | null;
   readonly seedsTried: number;
 }
 
-/** Tries every guard. */
+/** Runs the scenarios of all guards. */
 export async function findGuards(threads: number): Promise<GuardFinding[]> {
   const findings: GuardFinding[] = [];
   for (const guard of GUARD_NAMES) findings.push(await findGuard(guard, threads));
   return findings;
 }
 
-/** Tries one guard, a batch of seeds at a time. */
+/** Runs the scenario of one guard without it, a batch of seeds at a time. */
 export async function findGuard(guard: GuardName, threads: number): Promise<GuardFinding> {
   const { scenario, seeds } = GUARD_CASES[guard];
   const found = { guard, purpose: GUARD_PURPOSE[guard], scenario };
--- a/lab/sim/invariants.ts
+++ b/lab/sim/invariants.ts
@@ -1,4 +1,4 @@
-/** Checks of a simulated history beyond those of the judge of real runs. */
+/** Checks of a simulated history that the judge of real runs does not make. */
 import type { LogEntry } from '../../src/consensus/raft-types.js';
 
 /** A broken invariant. */
@@ -7,14 +7,14 @@
   readonly detail: string;
 }
 
-/** A shard that a back end would serve now. */
-export interface Servable {
+/** Shards that a back end would currently serve. */
+export interface ServableShards {
   readonly backend: string;
   readonly shards: readonly number[];
 }
 
-/** Shards that more than one back end would serve at this moment. */
-export function findTwoServing(servable: readonly Servable[]): SimViolation[] {
+/** Returns a violation for each shard that more than one back end would currently serve. */
+export function findMultipleOwners(servable: readonly ServableShards[]): SimViolation[] {
   const owners = new Map<number, string>();
   const violations: SimViolation[] = [];
   for (const { backend, shards } of servable) {
@@ -28,12 +28,12 @@
   return violations;
 }
 
-/** Compares what replicas have applied: one index holds one entry, everywhere and for good. */
+/** Checks that all replicas apply the same entry at each log index. */
 export class AppliedEntries {
   private readonly entries = new Map<number, string>();
 
-  /** Takes an entry that a replica has applied. */
-  check(replica: string, entry: LogEntry): SimViolation | null {
+  /** Records an entry that a replica applied; returns a violation if another entry was applied at its index. */
+  recordApplied(replica: string, entry: LogEntry): SimViolation | null {
     const { payload } = entry;
     const content = `${entry.term} ${payload.kind === 'command' ? payload.proposalId : payload.kind}`;
     const known = this.entries.get(entry.index);
@@ -44,42 +44,44 @@
   }
 }
 
-/** Configurations that were acknowledged to operators, and what daemons have in force. */
+/** Checks the revisions acknowledged to operators and those in force at daemons. */
 export class AcknowledgedConfigurations {
-  private newest = 0;
+  private newestRevision = 0;
   private readonly bySubmission = new Map<string, number>();
   private readonly inForce = new Map<string, number>();
 
   /** Newest acknowledged revision. */
   get revision(): number {
-    return this.newest;
+    return this.newestRevision;
   }
 
-  /** An operator was told that its submission has a revision. */
-  acknowledged(submissionId: string, revision: number): SimViolation | null {
+  /** Records that a submission was acknowledged as a revision. */
+  recordAcknowledged(submissionId: string, revision: number): SimViolation | null {
     const known = this.bySubmission.get(submissionId);
-    const taken = [...this.bySubmission].find(([id, other]) => other === revision && id !== submissionId);
+    const conflicting = [...this.bySubmission].find(
+      ([id, other]) => other === revision && id !== submissionId,
+    );
     this.bySubmission.set(submissionId, revision);
-    this.newest = Math.max(this.newest, revision);
+    this.newestRevision = Math.max(this.newestRevision, revision);
     if (known !== undefined && known !== revision) {
       const detail = `${submissionId} was given revisions ${known} and ${revision}`;
       return { invariant: 'one-answer-a-submission', detail };
     }
-    if (taken === undefined) return null;
+    if (conflicting === undefined) return null;
     return {
       invariant: 'one-winner-a-revision',
-      detail: `${taken[0]} and ${submissionId} both got ${revision}`,
+      detail: `${conflicting[0]} and ${submissionId} both got ${revision}`,
     };
   }
 
-  /** A daemon's life has a revision in force. */
-  seen(daemonLife: string, revision: number): SimViolation | null {
-    const earlier = this.inForce.get(daemonLife) ?? 0;
-    this.inForce.set(daemonLife, Math.max(earlier, revision));
+  /** Records the revision in force at an incarnation of a daemon. */
+  recordInForce(incarnation: string, revision: number): SimViolation | null {
+    const earlier = this.inForce.get(incarnation) ?? 0;
+    this.inForce.set(incarnation, Math.max(earlier, revision));
     if (revision >= earlier) return null;
     return {
       invariant: 'configuration-never-reverts',
-      detail: `${daemonLife} went from ${earlier} to ${revision}`,
+      detail: `${incarnation} went from ${earlier} to ${revision}`,
     };
   }
 }
--- a/lab/sim/replay-command.ts
+++ b/lab/sim/replay-command.ts
@@ -1,4 +1,4 @@
-/** Runs a replay file again and prints its trace; `aldertide replay` calls this. */
+/** Replays a simulation from a file and prints its trace; called by `aldertide replay`. */
 import { readFileSync } from 'node:fs';
 import { EXIT_CODE } from '../../src/cli/exit-code.js';
 import { printJson, printLine, usageError } from '../../src/cli/command-line.js';
@@ -6,7 +6,7 @@
 import { findScenario } from './scenarios.js';
 import { runSimulation } from './sim-run.js';
 
-/** Runs `file`; exit 1 when an invariant is broken. */
+/** Replays `file`; returns exit code 1 if an invariant is broken. */
 export async function replayFile(file: string, json: boolean): Promise<number> {
   let text: string;
   try {
--- a/lab/sim/replay-file.ts
+++ b/lab/sim/replay-file.ts
@@ -1,4 +1,4 @@
-/** Files with one simulation to run again. */
+/** Replay files: one simulation with its schedule of faults, as JSON. */
 import { z } from 'zod';
 import { Err, Ok, type Result } from '../../src/result.js';
 import type { SimFault } from './sim-faults.js';
@@ -52,19 +52,19 @@
   faults: z.array(faultSchema),
 });
 
-/** A simulation to run again. */
+/** A simulation to replay. */
 export interface Replay {
   readonly scenario: string;
   readonly seed: number;
   readonly faults: readonly SimFault[];
 }
 
-/** Writes a replay as text. */
+/** Serializes a replay. */
 export function writeReplay(replay: Replay): string {
   return `${JSON.stringify(replay, null, 2)}\n`;
 }
 
-/** Reads a replay; the error says what is wrong with the text. */
+/** Parses a replay; the error describes why the text is invalid. */
 export function readReplay(text: string): Result<Replay, string> {
   try {
     const parsed = replaySchema.safeParse(JSON.parse(text));
--- a/lab/sim/scenarios.ts
+++ b/lab/sim/scenarios.ts
@@ -1,105 +1,113 @@
-/** Scenarios of the simulator: for each, the line of the brief that it provokes and its schedule of faults. */
+/** Scenarios of the simulator: each has the requirement that it tests and a schedule of faults. */
 import type { Random } from '../random.js';
 import type { ControlTarget, SimFault } from './sim-faults.js';
 
-/** Control replicas, machines with a back end, and routers of every simulation. */
+/** Number of control replicas, machines with a back end, and routers in every simulation. */
 export const SIM_SIZE = { control: 3, machines: 3, routers: 2 } as const;
 
-/** When faults may begin: the deployment is up by then. */
+/** Earliest start of a fault; the deployment is ready by then. */
 const FIRST_FAULT_MS = 4_000;
-const FAULT_SPAN_MS = 3_000;
-const SHORTEST_FAULT_MS = 500;
-const LONGEST_FAULT_MS = 5_000;
+const FAULT_START_RANGE_MS = 3_000;
+const MIN_FAULT_MS = 500;
+const MAX_FAULT_MS = 5_000;
 
-/** A scenario. */
+/** A named scenario. */
 export interface Scenario {
   readonly name: string;
-  /** Line of the brief. */
+  /** Requirement or circumstance that the scenario tests, as printed in listings. */
   readonly brief: string;
-  /** Largest deviation of a clock's rate from true time. */
-  readonly driftShare: number;
-  /** Whether no back end may lose a shard: only control or routers are hit. */
+  /** Largest deviation of a clock's rate from true time, as a fraction. */
+  readonly maxClockDrift: number;
+  /** Whether back ends must keep all their shards, since faults hit only control replicas or routers. */
   readonly keepsOwners: boolean;
   readonly faults: (random: Random) => SimFault[];
 }
 
-/** Largest deviation of a clock's rate that the promises are made for; half of the lease's margin a clock. */
-const PROMISED_DRIFT = 0.009;
+/** Largest clock drift for which the guarantees hold; each of two clocks may use half of the lease's margin. */
+const MAX_TOLERATED_DRIFT = 0.009;
 
-function timing(random: Random): { atMs: number; lastsMs: number } {
+function drawTiming(random: Random): { atMs: number; lastsMs: number } {
   return {
-    atMs: Math.round(FIRST_FAULT_MS + random.fraction() * FAULT_SPAN_MS),
-    lastsMs: Math.round(SHORTEST_FAULT_MS + random.fraction() * (LONGEST_FAULT_MS - SHORTEST_FAULT_MS)),
+    atMs: Math.round(FIRST_FAULT_MS + random.fraction() * FAULT_START_RANGE_MS),
+    lastsMs: Math.round(MIN_FAULT_MS + random.fraction() * (MAX_FAULT_MS - MIN_FAULT_MS)),
   };
 }
 
-function machine(random: Random): number {
+function drawMachine(random: Random): number {
   return random.below(SIM_SIZE.machines);
 }
 
-function replica(random: Random): ControlTarget {
+function drawControlTarget(random: Random): ControlTarget {
   return random.fraction() < 0.5 ? 'leader' : random.below(SIM_SIZE.control);
 }
 
 const CUT_DIRECTIONS = ['both', 'outgoing', 'incoming'] as const;
 
-type FaultMaker = (random: Random) => SimFault;
+type FaultFactory = (random: Random) => SimFault;
 
-const MAKERS = {
+const FAULT_FACTORIES = {
   crashControl: (random) => ({
     kind: 'crash-control',
-    target: replica(random),
+    target: drawControlTarget(random),
     loseDisk: false,
-    ...timing(random),
+    ...drawTiming(random),
   }),
   loseDisk: (random) => ({
     kind: 'crash-control',
-    target: replica(random),
+    target: drawControlTarget(random),
     loseDisk: true,
-    ...timing(random),
+    ...drawTiming(random),
+  }),
+  freezeControl: (random) => ({
+    kind: 'freeze-control',
+    target: drawControlTarget(random),
+    ...drawTiming(random),
   }),
-  freezeControl: (random) => ({ kind: 'freeze-control', target: replica(random), ...timing(random) }),
   cutControl: (random) => ({
     kind: 'cut-control',
-    target: replica(random),
+    target: drawControlTarget(random),
     directions: random.pick(CUT_DIRECTIONS),
-    ...timing(random),
+    ...drawTiming(random),
   }),
-  crashMachine: (random) => ({ kind: 'crash-machine', target: machine(random), ...timing(random) }),
-  freezeMachine: (random) => ({ kind: 'freeze-machine', target: machine(random), ...timing(random) }),
-  freezeBackend: (random) => ({ kind: 'freeze-backend', target: machine(random), ...timing(random) }),
-  freezeAgent: (random) => ({ kind: 'freeze-agent', target: machine(random), ...timing(random) }),
-  crashAgent: (random) => ({ kind: 'crash-agent', target: machine(random), ...timing(random) }),
-  crashBackend: (random) => ({ kind: 'crash-backend', target: machine(random), ...timing(random) }),
+  crashMachine: (random) => ({ kind: 'crash-machine', target: drawMachine(random), ...drawTiming(random) }),
+  freezeMachine: (random) => ({ kind: 'freeze-machine', target: drawMachine(random), ...drawTiming(random) }),
+  freezeBackend: (random) => ({ kind: 'freeze-backend', target: drawMachine(random), ...drawTiming(random) }),
+  freezeAgent: (random) => ({ kind: 'freeze-agent', target: drawMachine(random), ...drawTiming(random) }),
+  crashAgent: (random) => ({ kind: 'crash-agent', target: drawMachine(random), ...drawTiming(random) }),
+  crashBackend: (random) => ({ kind: 'crash-backend', target: drawMachine(random), ...drawTiming(random) }),
   cutMachine: (random) => ({
     kind: 'cut-machine',
-    target: machine(random),
+    target: drawMachine(random),
     from: random.pick(['control', 'everyone'] as const),
-    ...timing(random),
+    ...drawTiming(random),
   }),
   crashRouter: (random) => ({
     kind: 'crash-router',
     target: random.below(SIM_SIZE.routers),
-    ...timing(random),
+    ...drawTiming(random),
   }),
   freezeRouter: (random) => ({
     kind: 'freeze-router',
     target: random.below(SIM_SIZE.routers),
-    ...timing(random),
+    ...drawTiming(random),
+  }),
+  cutRouter: (random) => ({
+    kind: 'cut-router',
+    target: random.below(SIM_SIZE.routers),
+    ...drawTiming(random),
   }),
-  cutRouter: (random) => ({ kind: 'cut-router', target: random.below(SIM_SIZE.routers), ...timing(random) }),
-  drain: (random) => ({ kind: 'drain', target: machine(random), ...timing(random) }),
-  race: (random) => ({ kind: 'operators-race', ...timing(random) }),
-  manyChanges: (random) => ({ kind: 'many-changes', count: 60, ...timing(random) }),
-} satisfies Record<string, FaultMaker>;
+  drain: (random) => ({ kind: 'drain', target: drawMachine(random), ...drawTiming(random) }),
+  race: (random) => ({ kind: 'operators-race', ...drawTiming(random) }),
+  manyChanges: (random) => ({ kind: 'many-changes', count: 60, ...drawTiming(random) }),
+} satisfies Record<string, FaultFactory>;
 
-const ALL_MAKERS: readonly FaultMaker[] = Object.values(MAKERS);
+const ALL_FAULT_FACTORIES: readonly FaultFactory[] = Object.values(FAULT_FACTORIES);
 
-function mixture(random: Random, count: number): SimFault[] {
-  return Array.from({ length: count }, () => random.pick(ALL_MAKERS)(random));
+function drawFaults(random: Random, count: number): SimFault[] {
+  return Array.from({ length: count }, () => random.pick(ALL_FAULT_FACTORIES)(random));
 }
 
-/** The second replica is hit as soon as the first, which lost its disk, is back. */
+/** A second replica crashes shortly after the first, which lost its disk, has restarted. */
 function secondFailure(random: Random): SimFault[] {
   const first = random.below(SIM_SIZE.control);
   const second = (first + 1 + random.below(SIM_SIZE.control - 1)) % SIM_SIZE.control;
@@ -118,20 +126,20 @@
   ];
 }
 
-/** A replica misses many changes and must be brought up by a snapshot. */
+/** A replica misses many changes and must catch up from a snapshot. */
 function longAbsence(random: Random): SimFault[] {
   const target = random.below(SIM_SIZE.control);
   const absent = { atMs: FIRST_FAULT_MS, lastsMs: 4_500 };
-  const away: SimFault =
+  const absence: SimFault =
     random.fraction() < 0.5
       ? { kind: 'crash-control', target, loseDisk: false, ...absent }
       : { kind: 'cut-control', target, directions: 'both', ...absent };
-  return [away, { kind: 'many-changes', count: 80, atMs: FIRST_FAULT_MS + 300, lastsMs: 0 }];
+  return [absence, { kind: 'many-changes', count: 80, atMs: FIRST_FAULT_MS + 300, lastsMs: 0 }];
 }
 
 function zoneLoss(random: Random): SimFault[] {
   const at = random.below(SIM_SIZE.machines);
-  const when = timing(random);
+  const when = drawTiming(random);
   return [
     { kind: 'crash-machine', target: at, ...when },
     { kind: 'crash-control', target: at, loseDisk: false, ...when },
@@ -139,69 +147,119 @@
   ];
 }
 
-function scenario(
+function defineScenario(
   name: string,
   brief: string,
   faults: Scenario['faults'],
-  given: Partial<Scenario> = {},
+  overrides: Partial<Scenario> = {},
 ): Scenario {
-  return { name, brief, driftShare: 0, keepsOwners: false, faults, ...given };
+  return { name, brief, maxClockDrift: 0, keepsOwners: false, faults, ...overrides };
 }
 
-function one(maker: FaultMaker): Scenario['faults'] {
-  return (random) => [maker(random)];
+function singleFault(factory: FaultFactory): Scenario['faults'] {
+  return (random) => [factory(random)];
 }
 
 /** All scenarios. */
 export const SCENARIOS: readonly Scenario[] = [
-  scenario('calm', 'a key has at most one owner', () => [], { keepsOwners: true }),
-  scenario('owner-lost', 'servers leave without warning', one(MAKERS.crashMachine)),
-  scenario('owner-frozen', 'servers freeze and come back as if nothing happened', one(MAKERS.freezeMachine)),
-  scenario('backend-frozen', 'servers freeze, their agents do not', one(MAKERS.freezeBackend)),
-  scenario('agent-frozen', "the system's own processes get paused", one(MAKERS.freezeAgent)),
-  scenario('agent-lost', "the system's own processes crash", one(MAKERS.crashAgent)),
-  scenario('backend-lost', 'a server is restarted beside its agent', one(MAKERS.crashBackend)),
-  scenario('machine-cut', 'processes get partitioned', one(MAKERS.cutMachine)),
-  scenario('leader-lost', 'a control machine crashes', one(MAKERS.crashControl), { keepsOwners: true }),
-  scenario('leader-frozen', 'a control machine is paused', one(MAKERS.freezeControl), { keepsOwners: true }),
-  scenario('leader-cut', 'a control machine is cut off silently', one(MAKERS.cutControl), {
+  defineScenario('calm', 'a key has at most one owner', () => [], { keepsOwners: true }),
+  defineScenario('owner-lost', 'servers leave without warning', singleFault(FAULT_FACTORIES.crashMachine)),
+  defineScenario(
+    'owner-frozen',
+    'servers freeze and come back as if nothing happened',
+    singleFault(FAULT_FACTORIES.freezeMachine),
+  ),
+  defineScenario(
+    'backend-frozen',
+    'servers freeze, their agents do not',
+    singleFault(FAULT_FACTORIES.freezeBackend),
+  ),
+  defineScenario(
+    'agent-frozen',
+    "the system's own processes get paused",
+    singleFault(FAULT_FACTORIES.freezeAgent),
+  ),
+  defineScenario('agent-lost', "the system's own processes crash", singleFault(FAULT_FACTORIES.crashAgent)),
+  defineScenario(
+    'backend-lost',
+    'a server is restarted beside its agent',
+    singleFault(FAULT_FACTORIES.crashBackend),
+  ),
+  defineScenario('machine-cut', 'processes get partitioned', singleFault(FAULT_FACTORIES.cutMachine)),
+  defineScenario('leader-lost', 'a control machine crashes', singleFault(FAULT_FACTORIES.crashControl), {
+    keepsOwners: true,
+  }),
+  defineScenario('leader-frozen', 'a control machine is paused', singleFault(FAULT_FACTORIES.freezeControl), {
     keepsOwners: true,
   }),
-  scenario('disk-lost', 'processes lose their disks', one(MAKERS.loseDisk), { keepsOwners: true }),
-  scenario('second-failure', 'a second machine fails right after a repair of the first', secondFailure),
-  scenario('long-absence', 'processes restart after hundreds of changes have passed them by', longAbsence),
-  scenario('router-lost', "the system's own processes crash", one(MAKERS.crashRouter), { keepsOwners: true }),
-  scenario('router-frozen', "the system's own processes get paused", one(MAKERS.freezeRouter), {
+  defineScenario(
+    'leader-cut',
+    'a control machine is cut off silently',
+    singleFault(FAULT_FACTORIES.cutControl),
+    {
+      keepsOwners: true,
+    },
+  ),
+  defineScenario('disk-lost', 'processes lose their disks', singleFault(FAULT_FACTORIES.loseDisk), {
     keepsOwners: true,
   }),
-  scenario('router-cut', 'a router works from an old table', (random) => [
-    MAKERS.cutRouter(random),
-    MAKERS.crashMachine(random),
+  defineScenario('second-failure', 'a second machine fails right after a repair of the first', secondFailure),
+  defineScenario(
+    'long-absence',
+    'processes restart after hundreds of changes have passed them by',
+    longAbsence,
+  ),
+  defineScenario(
+    'router-lost',
+    "the system's own processes crash",
+    singleFault(FAULT_FACTORIES.crashRouter),
+    { keepsOwners: true },
+  ),
+  defineScenario(
+    'router-frozen',
+    "the system's own processes get paused",
+    singleFault(FAULT_FACTORIES.freezeRouter),
+    {
+      keepsOwners: true,
+    },
+  ),
+  defineScenario('router-cut', 'a router works from an old table', (random) => [
+    FAULT_FACTORIES.cutRouter(random),
+    FAULT_FACTORIES.crashMachine(random),
   ]),
-  scenario(
+  defineScenario(
     'drain',
     'a planned stop cuts off no request; a leaving back end gets no new work',
-    one(MAKERS.drain),
+    singleFault(FAULT_FACTORIES.drain),
   ),
-  scenario('operators-race', 'operators race with equal numbers and resend after lost answers', (random) => [
-    MAKERS.race(random),
-    MAKERS.race(random),
-    MAKERS.crashControl(random),
-  ]),
-  scenario('zone-lost', 'a zone goes once or twice a year', zoneLoss),
-  scenario('clocks-drift', 'clocks run at different rates', (random) => mixture(random, 2), {
-    driftShare: PROMISED_DRIFT,
+  defineScenario(
+    'operators-race',
+    'operators race with equal numbers and resend after lost answers',
+    (random) => [
+      FAULT_FACTORIES.race(random),
+      FAULT_FACTORIES.race(random),
+      FAULT_FACTORIES.crashControl(random),
+    ],
+  ),
+  defineScenario('zone-lost', 'a zone goes once or twice a year', zoneLoss),
+  defineScenario('clocks-drift', 'clocks run at different rates', (random) => drawFaults(random, 2), {
+    maxClockDrift: MAX_TOLERATED_DRIFT,
   }),
-  scenario('move-and-loss', 'a server fails while its keys are moving', (random) => [
-    MAKERS.drain(random),
-    MAKERS.crashMachine(random),
+  defineScenario('move-and-loss', 'a server fails while its keys are moving', (random) => [
+    FAULT_FACTORIES.drain(random),
+    FAULT_FACTORIES.crashMachine(random),
   ]),
-  scenario('everything', 'any of these at any moment, together or twice', (random) => mixture(random, 5), {
-    driftShare: PROMISED_DRIFT,
-  }),
+  defineScenario(
+    'everything',
+    'any of these at any moment, together or twice',
+    (random) => drawFaults(random, 5),
+    {
+      maxClockDrift: MAX_TOLERATED_DRIFT,
+    },
+  ),
 ];
 
-/** A scenario by name. */
+/** Returns the scenario with the given name. */
 export function findScenario(name: string): Scenario | undefined {
   return SCENARIOS.find((candidate) => candidate.name === name);
 }
--- a/lab/sim/seed-runner.ts
+++ b/lab/sim/seed-runner.ts
@@ -1,4 +1,4 @@
-/** Runs many simulations on worker threads. */
+/** Runs simulations in parallel on worker threads. */
 import { Worker } from 'node:worker_threads';
 import type { SimResult } from './sim-run.js';
 
@@ -12,11 +12,11 @@
 export interface SeedTask {
   readonly scenario: string;
   readonly seed: number;
-  /** Guard that is left out, or null. */
+  /** Guard that is disabled, or null. */
   readonly withoutGuard: string | null;
 }
 
-/** Runs every scenario with every seed; results come in the order of scenarios and seeds. */
+/** Runs every scenario with every seed; results are ordered by scenario, then seed. */
 export async function runSeeds(
   scenarios: readonly string[],
   seeds: SeedRange,
@@ -30,7 +30,7 @@
   return await runTasks(tasks, threads);
 }
 
-/** Runs tasks on `threads` threads. */
+/** Runs tasks on up to `threads` worker threads; results are in the order of the tasks. */
 export async function runTasks(tasks: readonly SeedTask[], threads: number): Promise<SimResult[]> {
   const results: SimResult[] = [];
   let next = 0;
--- a/lab/sim/seed-worker.ts
+++ b/lab/sim/seed-worker.ts
@@ -1,4 +1,4 @@
-/** Thread that runs simulations one at a time. */
+/** Worker thread that runs simulations one at a time. */
 import { parentPort } from 'node:worker_threads';
 import { findScenario } from './scenarios.js';
 import type { SeedTask } from './seed-runner.js';
--- a/lab/sim/sim-backend.ts
+++ b/lab/sim/sim-backend.ts
@@ -1,4 +1,4 @@
-/** A simulated back end: the stand-in's own grants and gate, on virtual time. */
+/** A simulated back end: the grant table and request gate of the stand-in back end, on virtual time. */
 import type { BackendCallError, BackendPort } from '../../src/agent/backend-port.js';
 import { HolderName } from '../../src/agent/holder-name.js';
 import type { Claim, Grant, HolderAnswer, RefusalCode } from '../../src/backend-contract/grant-messages.js';
@@ -11,13 +11,13 @@
 
 const SLOTS = 6;
 const REPEAT_HORIZON_MS = 30_000;
-const LONGEST_WORK_MS = 12;
+const MAX_WORK_MS = 12;
 const LOCAL_CALL_MS = 0.2;
 const CALL_TIMEOUT_MS = 500;
 const RELEASE_TIMEOUT_MS = 10_000;
 const HTTP_CONFLICT = 409;
 
-/** A request as it reaches a back end. */
+/** A request as a back end receives it. */
 export interface BackendRequest {
   readonly shard: number;
   readonly epoch: number;
@@ -27,20 +27,20 @@
   readonly idempotencyKey: string | null;
 }
 
-/** What a back end answers. */
+/** Answer of a back end to a request. */
 export type BackendAnswer =
   { readonly kind: 'answered' } | { readonly kind: 'refused'; readonly code: RefusalCode };
 
-/** Makes the table of grants; variants stand in for a back end without a guard. */
+/** Creates the grant table; variants simulate a back end without a guard. */
 export type GrantTableFactory = (clocks: BackendClocks) => GrantTable;
 
-/** The usual table. */
+/** Creates a grant table with all guards. */
 export const makeGrantTable: GrantTableFactory = (clocks) => new GrantTable(clocks, REPEAT_HORIZON_MS);
 
-/** One back end over all its lives. */
+/** One back end across all its incarnations. */
 export class SimBackend {
   grants: GrantTable;
-  /** Time in ms by which calls that are sent now are carried out late. */
+  /** Additional delay in ms until a call sent now takes effect. */
   heldUpMs = 0;
   private gate: RequestGate;
   private bornMs = 0;
@@ -51,55 +51,55 @@
     readonly service: string,
     readonly process: SimProcess,
     private readonly random: Random,
-    private readonly makeGrants: GrantTableFactory,
+    private readonly createGrants: GrantTableFactory,
     private readonly record: (execution: ExecutionRecord) => void,
   ) {
-    this.grants = this.makeGrants(this.process.clocks());
+    this.grants = this.createGrants(this.process.clocks());
     this.gate = new RequestGate(this.grants, SLOTS);
   }
 
-  /** Starts a new life without grants. */
+  /** Starts a new incarnation without grants. */
   start(): void {
-    // Clocks of the simulation step; two lives of a back end never begin at the same time.
+    // Two incarnations of a back end never have the same start time, although simulated clocks can step.
     this.bornMs = Math.max(this.bornMs + 1, Math.floor(this.process.wallMs()));
-    this.grants = this.makeGrants(this.process.clocks());
+    this.grants = this.createGrants(this.process.clocks());
     this.gate = new RequestGate(this.grants, SLOTS);
     this.process.start();
   }
 
-  /** Takes a request; `answer` is called once, or never when this life ends first. */
+  /** Serves a request; `answer` is called once, or never if this incarnation ends first. */
   serve(request: BackendRequest, answer: (given: BackendAnswer) => void): void {
     const { shard, epoch, idempotencyKey } = request;
     this.load.set(shard, (this.load.get(shard) ?? 0) + 1);
-    const gated = { fence: { shard, epoch }, claimKey: idempotencyKey, wallMs: this.process.wallMs() };
-    const begun = this.gate.begin(gated);
-    if (begun.kind === 'refused') {
-      answer({ kind: 'refused', code: begun.code });
+    const gateRequest = { fence: { shard, epoch }, claimKey: idempotencyKey, wallMs: this.process.wallMs() };
+    const admission = this.gate.begin(gateRequest);
+    if (admission.kind === 'refused') {
+      answer({ kind: 'refused', code: admission.code });
       return;
     }
-    if (begun.kind === 'replay') {
+    if (admission.kind === 'replay') {
       answer({ kind: 'answered' });
       return;
     }
-    this.process.schedule(this.random.fraction() * LONGEST_WORK_MS, () => {
-      const done = begun.work.finish(false, () => this.execute(request));
+    this.process.schedule(this.random.fraction() * MAX_WORK_MS, () => {
+      const done = admission.work.finish(false, () => this.execute(request));
       answer(done === null ? { kind: 'refused', code: 'lease-expired' } : { kind: 'answered' });
     });
   }
 
-  /** The port that an agent on the same machine uses. */
+  /** Creates the port through which an agent on the same machine calls the back end. */
   portFor(agent: SimProcess, agentInstance: string): BackendPort {
     return new SimBackendPort(this, agent, agentInstance);
   }
 
-  /** Answer to the agent's calls that ask for one. */
+  /** Returns the status that the agent's calls are answered with, and resets the load counters. */
   holderAnswer(): HolderAnswer {
     const load = [...this.load];
     this.load.clear();
     return { instance: this.name, bornMs: this.bornMs, load, inFlight: this.gate.inFlight };
   }
 
-  /** Refuses requests without a fence, or takes them again. */
+  /** Sets whether requests without a fence are refused. */
   setDraining(draining: boolean): void {
     this.gate.draining = draining;
   }
@@ -189,7 +189,7 @@
     });
   }
 
-  /** A call that times out may still take effect, when a frozen back end goes on. */
+  /** A call that timed out may still take effect when a frozen back end resumes. */
   private async call<T>(
     timeoutMs: number,
     run: (backend: SimBackend) => Promise<CallResult<T>>,
--- a/lab/sim/sim-callers.ts
+++ b/lab/sim/sim-callers.ts
@@ -1,25 +1,25 @@
-/** Simulated callers: lookups, and confirmations that are sent again under their key until they are answered. */
+/** Simulated callers: lookups, and confirmations that are resent under their idempotency key until they are answered. */
 import { shardOfKey } from '../../src/model/shard.js';
 import type { CallerOutcome, SendingRecord } from '../journal.js';
 import type { Random } from '../random.js';
-import type { RoutedEnd, SimRouter } from './sim-router.js';
+import type { RoutedOutcome, SimRouter } from './sim-router.js';
 import type { SimNetwork } from './sim-network.js';
 import type { SimProcess } from './sim-process.js';
 
-const BUDGET_MS = 1_500;
-const PATIENCE_MS = 2_000;
-const DEFAULT_RETRY_MS = 100;
-const MAX_SENDINGS = 6;
+const REQUEST_DEADLINE_MS = 1_500;
+const MAX_ANSWER_WAIT_MS = 2_000;
+const DEFAULT_RETRY_DELAY_MS = 100;
+const MAX_ATTEMPTS = 6;
 const KEYS = 40;
-const CONFIRMATION_SHARE = 0.4;
-const REPEAT_SHARE = 0.2;
+const CONFIRMATION_PROBABILITY = 0.4;
+const REPEAT_PROBABILITY = 0.2;
 
-/** A repeat of a request that was answered may come this late, in ms: after a move, or after a loss. */
-const LATEST_REPEAT_MS = 4_000;
-const MEAN_PAUSE_MS = 40;
+/** Longest delay in ms of a repeat of an answered request: long enough to arrive after a move or a loss. */
+const MAX_REPEAT_DELAY_MS = 4_000;
+const MEAN_INTERVAL_MS = 40;
 
-/** What callers need of the world. */
-export interface CallerPorts {
+/** Dependencies of the callers. */
+export interface CallerDependencies {
   readonly service: string;
   readonly shards: number;
   readonly routers: () => readonly SimRouter[];
@@ -31,7 +31,7 @@
   readonly idempotencyKey: string | null;
 }
 
-interface SendingEnd {
+interface AttemptOutcome {
   readonly outcome: CallerOutcome;
   readonly detail: string;
   readonly retryAfterMs: number | null;
@@ -39,9 +39,9 @@
 
 /** All callers of a simulation. */
 export class SimCallers {
-  /** Requests that ended with an answer. */
+  /** Number of requests that were answered. */
   answered = 0;
-  /** Requests that were started. */
+  /** Number of requests that were started. */
   started = 0;
   private sendings = 0;
 
@@ -49,25 +49,25 @@
     private readonly process: SimProcess,
     private readonly network: SimNetwork,
     private readonly random: Random,
-    private readonly ports: CallerPorts,
+    private readonly ports: CallerDependencies,
   ) {}
 
   /** Starts requests until `untilMs` of true time. */
   run(untilMs: number): void {
-    this.process.schedule(this.random.exponential(MEAN_PAUSE_MS), () => {
+    this.process.schedule(this.random.exponential(MEAN_INTERVAL_MS), () => {
       if (this.process.nowTrueMs() >= untilMs) return;
-      void this.call(this.draw());
+      void this.call(this.drawRequest());
       this.run(untilMs);
     });
   }
 
-  private draw(): CallerRequest {
+  private drawRequest(): CallerRequest {
     const key = `key-${this.random.below(KEYS)}`;
-    const isConfirmation = this.random.fraction() < CONFIRMATION_SHARE;
+    const isConfirmation = this.random.fraction() < CONFIRMATION_PROBABILITY;
     return { key, idempotencyKey: isConfirmation ? this.uuid7() : null };
   }
 
-  /** A UUID of version 7: the caller's wall clock, then a number that nobody else has. */
+  /** A version 7 UUID: the caller's wall clock, then a unique sequence number. */
   private uuid7(): string {
     this.sendings += 1;
     const time = this.process.wallMs().toString(16).padStart(12, '0');
@@ -77,27 +77,33 @@
 
   private async call(request: CallerRequest): Promise<void> {
     this.started += 1;
-    for (let sending = 0; sending < MAX_SENDINGS; sending += 1) {
-      const end = await this.send(request);
-      if (end.outcome === 'answered') {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
+      const attemptOutcome = await this.send(request);
+      if (attemptOutcome.outcome === 'answered') {
         this.answered += 1;
         break;
       }
-      await this.sleep(end.retryAfterMs ?? DEFAULT_RETRY_MS);
+      await this.sleep(attemptOutcome.retryAfterMs ?? DEFAULT_RETRY_DELAY_MS);
     }
-    const repeats = request.idempotencyKey !== null && this.random.fraction() < REPEAT_SHARE;
+    const repeats = request.idempotencyKey !== null && this.random.fraction() < REPEAT_PROBABILITY;
     if (!repeats) return;
-    await this.sleep(this.random.fraction() * LATEST_REPEAT_MS);
+    await this.sleep(this.random.fraction() * MAX_REPEAT_DELAY_MS);
     await this.send(request);
   }
 
-  private async send({ key, idempotencyKey }: CallerRequest): Promise<SendingEnd> {
+  private async send({ key, idempotencyKey }: CallerRequest): Promise<AttemptOutcome> {
     const { service, shards, record } = this.ports;
     const router = this.random.pick(this.ports.routers());
     this.sendings += 1;
     const sendingId = `sending-${this.sendings}`;
     const sentMs = this.process.nowTrueMs();
-    const end = await this.exchange(router, { service, key, sendingId, idempotencyKey, budgetMs: BUDGET_MS });
+    const attemptOutcome = await this.exchange(router, {
+      service,
+      key,
+      sendingId,
+      idempotencyKey,
+      remainingMs: REQUEST_DEADLINE_MS,
+    });
     record({
       kind: 'sending',
       sentMs,
@@ -110,28 +116,28 @@
       idempotencyKey,
       status: 0,
       router: router.name,
-      ...end,
+      ...attemptOutcome,
     });
-    return end;
+    return attemptOutcome;
   }
 
   private async exchange(
     router: SimRouter,
     request: Parameters<SimRouter['handle']>[0],
-  ): Promise<SendingEnd> {
+  ): Promise<AttemptOutcome> {
     if (!router.process.alive) {
-      await this.sleep(this.network.delay() * 2);
+      await this.sleep(this.network.drawDelayMs() * 2);
       return { outcome: 'refused', detail: 'connection refused', retryAfterMs: null };
     }
     return await new Promise((resolve) => {
-      router.process.schedule(this.network.delay(), () => {
+      router.process.schedule(this.network.drawDelayMs(), () => {
         void router.handle(request).then((end) => {
-          this.process.schedule(this.network.delay(), () => {
-            resolve(toSendingEnd(end));
+          this.process.schedule(this.network.drawDelayMs(), () => {
+            resolve(toAttemptOutcome(end));
           });
         });
       });
-      this.process.schedule(PATIENCE_MS, () => {
+      this.process.schedule(MAX_ANSWER_WAIT_MS, () => {
         resolve({ outcome: 'unknown', detail: 'no answer', retryAfterMs: null });
       });
     });
@@ -144,7 +150,7 @@
   }
 }
 
-function toSendingEnd(end: RoutedEnd): SendingEnd {
+function toAttemptOutcome(end: RoutedOutcome): AttemptOutcome {
   if (end.kind === 'answered') return { outcome: 'answered', detail: '', retryAfterMs: null };
   const { outcome, code, retryAfterMs } = end.refusal;
   return { outcome: outcome === 'not-run' ? 'refused' : 'unknown', detail: code, retryAfterMs };
--- a/lab/sim/sim-directory.ts
+++ b/lab/sim/sim-directory.ts
@@ -1,4 +1,4 @@
-/** The replicas of one simulated directory: real ones, on virtual time, network and disks, and the faults that strike them. */
+/** The replicas of one simulated directory: real nodes on virtual time, network and disks, with fault injection. */
 import { DirectoryNode } from '../../src/directory/directory-node.js';
 import { DEFAULT_DIRECTORY_TIMING } from '../../src/directory/directory-settings.js';
 import { SILENT_EVENT_LOG, type EventLog } from '../../src/telemetry/event-log.js';
@@ -9,14 +9,14 @@
 import { SimProcess } from './sim-process.js';
 import { simRuntime } from './sim-runtime.js';
 
-/** Secret of all simulated daemons. */
+/** Shared secret of all simulated daemons. */
 export const SIM_TOKEN = 'simulation-token-0123';
 
 const PORT = 1;
 const LEASE_TERM_MS = 9_500;
-const NO_DISK_FAULTS = { forgetsHardState: false, skipsSync: false, keepsIdentity: false } as const;
+const NO_DISK_FAULTS = { losesHardState: false, skipsSync: false, reusesIdentity: false } as const;
 
-/** One replica over all its lives. */
+/** One replica across all its incarnations. */
 export interface SimReplica {
   readonly name: string;
   readonly process: SimProcess;
@@ -25,29 +25,29 @@
   store: SimReplicaStore | null;
 }
 
-/** Faults that strike one replica. */
+/** Faults that can be injected into one replica. */
 export type DirectoryFault =
   | 'crash'
   | 'lose-disk'
   | 'freeze'
-  /** The machine stands still, and its steady clock with it. */
+  /** The machine is suspended, and its steady clock stops. */
   | 'suspend'
   | 'cut'
-  /** The other replicas hear nothing of it, and it hears them. */
+  /** The other replicas receive nothing from it, while it receives from them. */
   | 'mute';
 
-/** How many replicas there are, and what they stand. */
+/** Number of replicas, and the losses that they tolerate. */
 export interface SimDirectorySize {
   readonly replicas: number;
-  /** Replicas whose addresses everybody starts with. */
+  /** Number of replicas whose addresses every daemon is configured with. */
   readonly seeds: number;
   readonly toleratedLosses: number;
   readonly snapshotEveryEntries: number;
-  /** Processor time of writing or reading 1,000 characters of a message, in ms; next to none where it is left out. */
+  /** Processor time for writing or reading 1,000 characters of a message, in ms; default 0. */
   readonly workMsPerKilobyte?: number;
 }
 
-/** The replicas. */
+/** The replicas of one directory, and their network. */
 export class SimDirectory {
   readonly replicas: SimReplica[];
   readonly network: SimNetwork;
@@ -63,13 +63,13 @@
       delayMs: [0.2, 2.5],
       lossShare: 0.01,
       duplicateShare: 0.01,
-      reorderMs: 4,
+      maxReorderDelayMs: 4,
       workMsPerKilobyte: size.workMsPerKilobyte ?? 0,
     });
-    this.replicas = Array.from({ length: size.replicas }, (_, at) => this.makeReplica(addressOf(at)));
+    this.replicas = Array.from({ length: size.replicas }, (_, at) => this.createReplica(addressOf(at)));
   }
 
-  /** Addresses that everybody starts with. */
+  /** Addresses that every daemon is configured with. */
   get seeds(): string[] {
     return this.replicas.slice(0, this.size.seeds).map(({ name }) => name);
   }
@@ -79,12 +79,12 @@
     for (const replica of this.replicas) await this.startReplica(replica);
   }
 
-  /** The replica that leads the newest term, if any. */
+  /** Returns the leader of the newest term, or null. */
   leader(): DirectoryNode | null {
     return this.leadingReplica()?.node ?? null;
   }
 
-  /** The replica that leads the newest term, with its process. */
+  /** Returns the replica, with its process, that leads the newest term, or null. */
   leadingReplica(): SimReplica | null {
     const leading = this.replicas.filter(({ node, process }) => {
       return node?.leading === true && process.alive && !process.frozen;
@@ -94,8 +94,8 @@
     return leading[0] ?? null;
   }
 
-  /** Whether every replica is up, votes, and holds all that is committed. */
-  isWhole(): boolean {
+  /** Whether every replica is running, is a voter, and holds all committed entries. */
+  isFullyReplicated(): boolean {
     const core = this.leader()?.consensus?.core;
     if (core === undefined || core.committedMembership()?.voters.length !== this.replicas.length)
       return false;
@@ -106,27 +106,27 @@
     });
   }
 
-  /** Lets a fault strike, and repairs it after `lastsMs`. */
+  /** Injects a fault, and repairs it after `lastsMs`. */
   strike(fault: DirectoryFault, replica: SimReplica, lastsMs: number): void {
-    this.begin(fault, replica);
+    this.applyFault(fault, replica);
     this.queue.at(this.queue.nowMs + lastsMs, () => {
-      this.repair(fault, replica);
+      this.repairFault(fault, replica);
     });
   }
 
-  /** A process with clocks of its own. */
+  /** Creates a process with clocks of its own. */
   makeProcess(name: string): SimProcess {
     const startMs = this.random.below(1_000_000);
     return new SimProcess(name, this.queue, { startMs, rate: 1, wallOffsetMs: 0 });
   }
 
-  /** A string that nobody else gets. */
+  /** Returns an identifier that is unique in the simulation. */
   nextId(): string {
     this.nextIdNumber += 1;
     return `id-${this.nextIdNumber}`;
   }
 
-  private begin(fault: DirectoryFault, { process, store, disk }: SimReplica): void {
+  private applyFault(fault: DirectoryFault, { process, store, disk }: SimReplica): void {
     switch (fault) {
       case 'freeze':
         process.freeze();
@@ -151,10 +151,10 @@
     }
   }
 
-  private repair(fault: DirectoryFault, replica: SimReplica): void {
+  private repairFault(fault: DirectoryFault, replica: SimReplica): void {
     if (fault === 'freeze' || fault === 'suspend') replica.process.thaw();
     else if (fault === 'cut' || fault === 'mute') this.network.healAll();
-    // Another fault may have struck while it was down, and been repaired before.
+    // A second fault may have hit the replica while it was down, and its repair may already have restarted it.
     else if (!replica.process.alive) void this.startReplica(replica);
   }
 
@@ -187,7 +187,7 @@
     replica.node = started.unwrap();
   }
 
-  private makeReplica(name: string): SimReplica {
+  private createReplica(name: string): SimReplica {
     const disk = new SimDisk(name, () => this.nextId(), this.random, NO_DISK_FAULTS, true);
     return { name, process: this.makeProcess(name), disk, node: null, store: null };
   }
--- a/lab/sim/sim-disk.ts
+++ b/lab/sim/sim-disk.ts
@@ -1,4 +1,4 @@
-/** A simulated disk of one control replica: only synced bytes survive a crash; an unsynced tail may in part. */
+/** A simulated disk of one control replica: synced writes survive a crash; of unsynced ones a prefix may survive. */
 import type {
   DurableState,
   HardState,
@@ -11,7 +11,7 @@
 import type { Random } from '../random.js';
 import type { SimProcess } from './sim-process.js';
 
-interface Content {
+interface DiskContent {
   owner: FolderIdentity;
   hardState: HardState;
   position: SnapshotPosition;
@@ -19,77 +19,77 @@
   entries: readonly LogEntry[];
 }
 
-/** What a disk does worse than it should, for proving that the guard against it is needed. */
+/** Defects of a disk that stand for a missing guard, to prove that the guard is needed. */
 export interface DiskFaults {
-  /** Votes and terms are not synced: a crash brings the last but one back. */
-  readonly forgetsHardState: boolean;
+  /** Votes and terms are not synced: a crash restores the previous hard state. */
+  readonly losesHardState: boolean;
   /** `sync` returns without syncing. */
   readonly skipsSync: boolean;
-  /** A lost disk comes back under its old identity. */
-  readonly keepsIdentity: boolean;
+  /** A lost disk is replaced under its old identity. */
+  readonly reusesIdentity: boolean;
 }
 
 const NO_MEMBERSHIP: Membership = { voters: [], learners: [] };
 const EMPTY_POSITION: SnapshotPosition = { index: 0, term: 0, membership: NO_MEMBERSHIP };
-const SHORTEST_SYNC_MS = 0.2;
-const LONGEST_SYNC_MS = 4;
+const MIN_SYNC_MS = 0.2;
+const MAX_SYNC_MS = 4;
 
-/** One disk, over all lives of its replica. */
+/** One disk, across all incarnations of its replica. */
 export class SimDisk {
-  private durable: Content;
-  private earlierHardState: HardState;
-  private stallMs = 0;
+  private durable: DiskContent;
+  private previousHardState: HardState;
+  private nextSyncStallMs = 0;
 
   constructor(
     private readonly replica: string,
     private readonly nextId: () => string,
     private readonly random: Random,
     private readonly faults: DiskFaults,
-    /** Whether the folder is made at the first start of its deployment. */
+    /** Whether the folder is created at the first start of its deployment. */
     founding = false,
   ) {
     this.durable = this.emptyContent();
     if (founding) this.durable.owner = { ...this.durable.owner, founding };
-    this.earlierHardState = this.durable.hardState;
+    this.previousHardState = this.durable.hardState;
   }
 
-  /** The folder is lost; the next life starts with a new one. */
+  /** Loses the folder; the next incarnation starts with a new one. */
   lose(): void {
     const { identity } = this.durable.owner;
     this.durable = this.emptyContent();
-    if (this.faults.keepsIdentity) this.durable.owner = { name: this.replica, identity };
-    this.earlierHardState = this.durable.hardState;
+    if (this.faults.reusesIdentity) this.durable.owner = { name: this.replica, identity };
+    this.previousHardState = this.durable.hardState;
   }
 
-  /** Opens the disk for a new life. */
+  /** Opens the disk for a new incarnation. */
   open(process: SimProcess): ReplicaStore {
-    if (this.faults.forgetsHardState) this.durable.hardState = this.earlierHardState;
+    if (this.faults.losesHardState) this.durable.hardState = this.previousHardState;
     return new SimReplicaStore(process, this.durable, this, this.faults);
   }
 
-  /** The next access takes so long, as on a disk that stalls. */
+  /** Delays the next sync by `ms`, as on a stalling disk. */
   stallFor(ms: number): void {
-    this.stallMs = ms;
+    this.nextSyncStallMs = ms;
   }
 
-  /** Remembers the hard state that a forgetful disk goes back to. */
-  hardStateReplaced(earlier: HardState): void {
-    this.earlierHardState = earlier;
+  /** Records the previous hard state, which a disk that does not sync votes reverts to at a crash. */
+  recordPreviousHardState(previous: HardState): void {
+    this.previousHardState = previous;
   }
 
-  /** Time that a sync takes, in ms. */
+  /** Duration of the next sync, in ms. */
   syncMs(): number {
-    const { stallMs } = this;
-    this.stallMs = 0;
-    return stallMs + SHORTEST_SYNC_MS + this.random.fraction() * (LONGEST_SYNC_MS - SHORTEST_SYNC_MS);
+    const { nextSyncStallMs } = this;
+    this.nextSyncStallMs = 0;
+    return nextSyncStallMs + MIN_SYNC_MS + this.random.fraction() * (MAX_SYNC_MS - MIN_SYNC_MS);
   }
 
-  /** How many of `count` unsynced writes have reached the disk at a crash. */
+  /** Draws how many of `count` unsynced writes have reached the disk at a crash. */
   survivingWrites(count: number): number {
     return count === 0 ? 0 : this.random.below(count + 1);
   }
 
-  private emptyContent(): Content {
+  private emptyContent(): DiskContent {
     return {
       owner: { name: this.replica, identity: this.nextId() },
       hardState: { term: 0, votedFor: null },
@@ -102,23 +102,23 @@
 
 type Write = (entries: readonly LogEntry[]) => readonly LogEntry[];
 
-/** The disk as one life of the replica sees it. */
+/** The store that one incarnation of the replica uses. */
 export class SimReplicaStore implements ReplicaStore {
   readonly owner: FolderIdentity;
   readonly logBytes = 0;
-  private unsynced: Write[] = [];
+  private unsyncedWrites: Write[] = [];
   private entries: readonly LogEntry[];
-  private adopted: { readonly position: SnapshotPosition; readonly data: unknown };
+  private adoptedSnapshot: { readonly position: SnapshotPosition; readonly data: unknown };
 
   constructor(
     private readonly process: SimProcess,
-    private readonly content: Content,
+    private readonly content: DiskContent,
     private readonly disk: SimDisk,
     private readonly faults: DiskFaults,
   ) {
     this.owner = content.owner;
     this.entries = content.entries;
-    this.adopted = { position: content.position, data: content.data };
+    this.adoptedSnapshot = { position: content.position, data: content.data };
   }
 
   /** See `ReplicaStore`. */
@@ -134,7 +134,7 @@
 
   /** See `ReplicaStore`. */
   get formed(): boolean {
-    return this.adopted.position.membership.voters.length > 0 || this.entries.length > 0;
+    return this.adoptedSnapshot.position.membership.voters.length > 0 || this.entries.length > 0;
   }
 
   /** See `ReplicaStore`. */
@@ -146,8 +146,8 @@
 
   /** See `ReplicaStore`. */
   async saveHardState(hardState: HardState): Promise<void> {
-    await this.wait();
-    this.disk.hardStateReplaced(this.content.hardState);
+    await this.waitForDisk();
+    this.disk.recordPreviousHardState(this.content.hardState);
     this.content.hardState = hardState;
   }
 
@@ -164,30 +164,30 @@
   /** See `ReplicaStore`. */
   async sync(): Promise<void> {
     if (this.faults.skipsSync) return;
-    const writes = this.unsynced.length;
-    await this.wait();
+    const writes = this.unsyncedWrites.length;
+    await this.waitForDisk();
     this.apply(writes);
   }
 
   /** See `ReplicaStore`. */
   async writeSnapshot(position: SnapshotPosition, data: unknown): Promise<void> {
-    await this.wait();
+    await this.waitForDisk();
     this.content.position = position;
     this.content.data = data;
-    // Who opens the disk after a crash leaves out the entries that the snapshot has.
+    // Opening the disk after a crash skips the entries that the snapshot covers.
     this.content.entries = entriesAfter(position, this.content.entries);
   }
 
   /** See `ReplicaStore`. */
   async adoptSnapshot(position: SnapshotPosition, data: unknown): Promise<void> {
-    await this.wait();
+    await this.waitForDisk();
     this.entries = entriesAfter(position, this.entries);
-    this.adopted = { position, data };
+    this.adoptedSnapshot = { position, data };
   }
 
   /** See `ReplicaStore`. */
   currentSnapshot(): { readonly position: SnapshotPosition; readonly data: unknown } {
-    return this.adopted;
+    return this.adoptedSnapshot;
   }
 
   /** See `ReplicaStore`. */
@@ -195,23 +195,24 @@
     await Promise.resolve();
   }
 
-  /** The process has crashed: some of the unsynced writes, in order, have reached the disk. */
+  /** Applies a crash of the process: a prefix of the unsynced writes has reached the disk. */
   crash(): void {
-    this.apply(this.disk.survivingWrites(this.unsynced.length));
-    this.unsynced = [];
+    this.apply(this.disk.survivingWrites(this.unsyncedWrites.length));
+    this.unsyncedWrites = [];
   }
 
   private write(write: Write): Promise<void> {
-    this.unsynced.push(write);
+    this.unsyncedWrites.push(write);
     this.entries = write(this.entries);
     return Promise.resolve();
   }
 
   private apply(writes: number): void {
-    for (const write of this.unsynced.splice(0, writes)) this.content.entries = write(this.content.entries);
+    for (const write of this.unsyncedWrites.splice(0, writes))
+      this.content.entries = write(this.content.entries);
   }
 
-  private async wait(): Promise<void> {
+  private async waitForDisk(): Promise<void> {
     await new Promise<void>((resolve) => {
       this.process.schedule(this.disk.syncMs(), resolve);
     });
--- a/lab/sim/sim-faults.ts
+++ b/lab/sim/sim-faults.ts
@@ -1,9 +1,9 @@
-/** Faults of a simulation, as plain data: a schedule can be printed, shrunk and run again. */
+/** Faults of a simulation as plain data, so that a schedule can be printed, shrunk and replayed. */
 
-/** What a fault hits. Control replicas are numbered; `leader` is whoever leads when it begins. */
+/** Target of a fault: the number of a control replica, or the leader at the start of the fault. */
 export type ControlTarget = number | 'leader';
 
-/** One fault; `atMs` and `lastsMs` in virtual ms. */
+/** One fault; `atMs` and `lastsMs` are in ms of virtual time. */
 export type SimFault = {
   readonly atMs: number;
   readonly lastsMs: number;
@@ -15,7 +15,7 @@
       readonly target: ControlTarget;
       readonly directions: 'both' | 'outgoing' | 'incoming';
     }
-  /** A back end and its agent. */
+  /** Crashes a back end and its agent. */
   | { readonly kind: 'crash-machine'; readonly target: number }
   | { readonly kind: 'freeze-machine'; readonly target: number }
   | { readonly kind: 'freeze-backend'; readonly target: number }
@@ -26,10 +26,10 @@
   | { readonly kind: 'crash-router'; readonly target: number }
   | { readonly kind: 'freeze-router'; readonly target: number }
   | { readonly kind: 'cut-router'; readonly target: number }
-  /** Drained, then stopped in order when it is empty, then started and taken back. */
+  /** Drains a back end, stops it gracefully when it owns no shards, restarts it and ends the drain. */
   | { readonly kind: 'drain'; readonly target: number }
-  /** Two operators submit with the same revision, and each sends again as if its answer was lost. */
+  /** Two operators submit with the same base revision, and each may resend as if its answer was lost. */
   | { readonly kind: 'operators-race' }
-  /** Many changes of configuration, one after the other. */
+  /** Many configuration changes in sequence. */
   | { readonly kind: 'many-changes'; readonly count: number }
 );
--- a/lab/sim/sim-guards.ts
+++ b/lab/sim/sim-guards.ts
@@ -1,6 +1,6 @@
 /**
- * Guards that a simulation can be run without, to show that each is needed. Only drivers and ports are
- * replaced; the cores stay as they are.
+ * Guards that can be disabled in a simulation to show that each is needed. Only drivers and ports are replaced; the
+ * protocol cores are unchanged.
  */
 import type { Claim, Grant, RefusalCode } from '../../src/backend-contract/grant-messages.js';
 import { LeaseTable } from '../../src/control/lease-table.js';
@@ -22,10 +22,10 @@
   'holder-starts-from-sending',
 ] as const;
 
-/** A guard. */
+/** Name of a guard. */
 export type GuardName = (typeof GUARD_NAMES)[number];
 
-/** What the guards are for. */
+/** Failure that each guard prevents. */
 export const GUARD_PURPOSE: Readonly<Record<GuardName, string>> = {
   'vote-is-synced': 'a replica that restarts must not vote twice in a term',
   'log-is-synced': 'what was acknowledged must survive a crash',
@@ -40,46 +40,46 @@
   'holder-starts-from-sending': 'the holder must stop before control gives its shards away',
 };
 
-/** How long a disk or port without a guard exaggerates, in ms. */
-const LATE_DEADLINE_MS = 600;
+/** Time in ms by which lease deadlines are extended without `holder-starts-from-sending`. */
+const LEASE_EXTENSION_MS = 600;
 
 const REPEAT_HORIZON_MS = 30_000;
 
-/** The disk of a simulation without `guard`. */
+/** Returns the disk defects that stand for the missing `guard`. */
 export function diskFaults(guard: GuardName | null): DiskFaults {
   return {
-    forgetsHardState: guard === 'vote-is-synced',
+    losesHardState: guard === 'vote-is-synced',
     skipsSync: guard === 'log-is-synced',
-    keepsIdentity: guard === 'new-identity-after-lost-disk',
+    reusesIdentity: guard === 'new-identity-after-lost-disk',
   };
 }
 
-/** The leader's table of leases without `guard`; undefined for the usual one. */
-export function leaseTable(guard: GuardName | null, termMs: number): LeaseTable | undefined {
-  return guard === 'new-leader-waits-a-term' ? new ImpatientLeaseTable(termMs) : undefined;
+/** Returns the leader's lease table without `guard`; undefined for the default one. */
+export function createLeaseTable(guard: GuardName | null, termMs: number): LeaseTable | undefined {
+  return guard === 'new-leader-waits-a-term' ? new NoWaitLeaseTable(termMs) : undefined;
 }
 
-class ImpatientLeaseTable extends LeaseTable {
+class NoWaitLeaseTable extends LeaseTable {
   override restart(sessions: Iterable<number>): void {
     super.restart(sessions, -Infinity);
   }
 }
 
-/** The back ends' table of grants without `guard`. */
-export function grantTables(guard: GuardName | null): GrantTableFactory {
+/** Returns the factory of the back ends' grant tables without `guard`. */
+export function grantTableFactory(guard: GuardName | null): GrantTableFactory {
   switch (guard) {
     case 'epoch-is-checked':
       return (clocks) => new AnyEpochGrantTable(clocks, REPEAT_HORIZON_MS);
     case 'lease-deadline-is-checked':
-      return (clocks) => new EndlessGrantTable(clocks, REPEAT_HORIZON_MS);
+      return (clocks) => new NoExpiryGrantTable(clocks, REPEAT_HORIZON_MS);
     case 'grant-is-checked-again-before-the-change':
-      return (clocks) => new OnceCheckedGrantTable(clocks, REPEAT_HORIZON_MS);
+      return (clocks) => new NoRecheckGrantTable(clocks, REPEAT_HORIZON_MS);
     case 'window-is-handed-over':
-      return (clocks) => new ForgetfulGrantTable(clocks, REPEAT_HORIZON_MS);
+      return (clocks) => new NoWindowGrantTable(clocks, REPEAT_HORIZON_MS);
     case 'freshness-is-proven':
-      return (clocks) => new TrustingGrantTable(clocks, REPEAT_HORIZON_MS);
+      return (clocks) => new NoFreshnessGrantTable(clocks, REPEAT_HORIZON_MS);
     case 'holder-starts-from-sending':
-      return (clocks) => new LateGrantTable(clocks, REPEAT_HORIZON_MS);
+      return (clocks) => new LateExpiryGrantTable(clocks, REPEAT_HORIZON_MS);
     default:
       return makeGrantTable;
   }
@@ -91,13 +91,13 @@
   }
 }
 
-class EndlessGrantTable extends GrantTable {
+class NoExpiryGrantTable extends GrantTable {
   override extend(): void {
     super.extend(Infinity);
   }
 }
 
-class OnceCheckedGrantTable extends GrantTable {
+class NoRecheckGrantTable extends GrantTable {
   override admit(shard: number, epoch: number): Admission | RefusalCode {
     const admission = super.admit(shard, epoch);
     if (typeof admission === 'string') return admission;
@@ -105,21 +105,21 @@
   }
 }
 
-class ForgetfulGrantTable extends GrantTable {
+class NoWindowGrantTable extends GrantTable {
   override add(grants: readonly Grant[]): void {
-    const forgotten: Claim[] = [];
-    super.add(grants.map((grant) => ({ ...grant, window: forgotten })));
+    const emptyWindow: Claim[] = [];
+    super.add(grants.map((grant) => ({ ...grant, window: emptyWindow })));
   }
 }
 
-class TrustingGrantTable extends GrantTable {
+class NoFreshnessGrantTable extends GrantTable {
   override add(grants: readonly Grant[]): void {
     super.add(grants.map((grant) => ({ ...grant, freshAfterMs: 0 })));
   }
 }
 
-class LateGrantTable extends GrantTable {
+class LateExpiryGrantTable extends GrantTable {
   override extend(deadlineMs: number): void {
-    super.extend(deadlineMs + LATE_DEADLINE_MS);
+    super.extend(deadlineMs + LEASE_EXTENSION_MS);
   }
 }
--- a/lab/sim/sim-network.ts
+++ b/lab/sim/sim-network.ts
@@ -1,7 +1,7 @@
 /**
- * A simulated network. Connections deliver whole messages in order; a cut holds them back until it heals, as
- * a network does for TCP. Between control replicas messages are also lost, repeated and reordered, which TCP
- * does not do within a connection but reconnects can, and which the replicated log must stand.
+ * A simulated network. Connections deliver whole messages in order; a partition delays them until it heals, as with TCP
+ * retransmission. Between control replicas messages are also lost, duplicated and reordered: TCP does not do this within a
+ * connection, but reconnecting can, and the replicated log must tolerate it.
  */
 import { formatAddress, type SocketAddress } from '../../src/model/socket-address.js';
 import { Ok, type Result } from '../../src/result.js';
@@ -20,25 +20,25 @@
 import type { Random } from '../random.js';
 import type { SimProcess } from './sim-process.js';
 
-/** Behaviour of the network. */
+/** Parameters of the network. */
 export interface NetworkOptions {
-  /** Shortest and longest one-way delay, in ms. */
+  /** Minimum and maximum one-way delay, in ms. */
   readonly delayMs: readonly [number, number];
-  /** Share of messages between control replicas that are lost. */
+  /** Fraction of messages between control replicas that are lost. */
   readonly lossShare: number;
-  /** Share of messages between control replicas that arrive twice. */
+  /** Fraction of messages between control replicas that arrive twice. */
   readonly duplicateShare: number;
-  /** Longest additional delay of a message between control replicas that is overtaken, in ms. */
-  readonly reorderMs: number;
-  /** Processor time of writing or reading 1,000 characters of a message, in ms. */
+  /** Maximum additional delay of a message between control replicas, in ms; it lets later messages overtake. */
+  readonly maxReorderDelayMs: number;
+  /** Processor time for writing or reading 1,000 characters of a message, in ms. */
   readonly workMsPerKilobyte: number;
 }
 
 const BYTES_PER_KILOBYTE = 1_000;
 
-const CUT_POLL_MS = 20;
-const FIRST_REDIAL_MS = 50;
-const LONGEST_REDIAL_MS = 1_000;
+const CUT_POLL_INTERVAL_MS = 20;
+const INITIAL_REDIAL_DELAY_MS = 50;
+const MAX_REDIAL_DELAY_MS = 1_000;
 const CONNECT_TIMEOUT_MS = 1_000;
 const NO_TRAFFIC: Traffic = { bytesSent: 0, bytesReceived: 0 };
 
@@ -59,45 +59,45 @@
     readonly options: NetworkOptions,
   ) {}
 
-  /** Holds back everything that `from` sends to `to`. */
+  /** Delays everything that `from` sends to `to` until the cut heals. */
   cut(from: string, to: string): void {
     this.cuts.add(`${from}>${to}`);
   }
 
-  /** Ends one cut; what was held back arrives. */
+  /** Removes one cut; the delayed messages arrive. */
   heal(from: string, to: string): void {
     this.cuts.delete(`${from}>${to}`);
   }
 
-  /** Ends all cuts. */
+  /** Removes all cuts. */
   healAll(): void {
     this.cuts.clear();
   }
 
-  /** Whether messages pass from one process to another now. */
+  /** Whether messages from one process currently reach another. */
   passes(from: string, to: string): boolean {
     return !this.cuts.has(`${from}>${to}`);
   }
 
-  /** A one-way delay, in ms. */
-  delay(): number {
-    const [shortest, longest] = this.options.delayMs;
-    return shortest + this.random.fraction() * (longest - shortest);
+  /** Draws a one-way delay, in ms. */
+  drawDelayMs(): number {
+    const [minMs, maxMs] = this.options.delayMs;
+    return minMs + this.random.fraction() * (maxMs - minMs);
   }
 
-  /** Processor time of writing a message once, or of reading it, in ms. */
+  /** Processor time for writing or reading a message once, in ms. */
   workMs(message: unknown): number {
     const { workMsPerKilobyte } = this.options;
     if (workMsPerKilobyte === 0) return 0;
     return (JSON.stringify(message).length / BYTES_PER_KILOBYTE) * workMsPerKilobyte;
   }
 
-  /** A listener of a process. */
+  /** Creates a listener of a process. */
   serve(process: SimProcess, token: string, acceptor: PeerAcceptor): Listener {
     return new SimListener(this, { process, token, acceptor, connections: new Set() });
   }
 
-  /** A client of a process. */
+  /** Creates a client of a process. */
   dial(
     process: SimProcess,
     address: SocketAddress,
@@ -107,27 +107,27 @@
     return new SimClient(this, process, address, identity, handlers);
   }
 
-  /** The listener at an address whose process is alive. */
+  /** Returns the listener at an address if its process is alive. */
   listenerAt(address: SocketAddress): OpenListener | undefined {
     const listener = this.listeners.get(formatAddress(address));
     return listener?.process.alive === true ? listener : undefined;
   }
 
-  /** Opens a listener. */
+  /** Registers a listener at an address. */
   open(address: SocketAddress, listener: OpenListener): void {
     this.listeners.set(formatAddress(address), listener);
   }
 
-  /** Closes a listener. */
+  /** Removes a listener from all its addresses. */
   close(listener: OpenListener): void {
     for (const [address, open] of this.listeners) if (open === listener) this.listeners.delete(address);
   }
 
-  /** A process has crashed: its connections break at the other ends, and its listeners are gone. */
+  /** Breaks the connections of a crashed process at their remote ends and removes its listeners. */
   crashed(process: SimProcess): void {
     for (const [address, listener] of this.listeners) {
       for (const endpoint of listener.connections) {
-        if (listener.process === process || endpoint.peerProcess === process) endpoint.breakOff();
+        if (listener.process === process || endpoint.peerProcess === process) endpoint.closeByPeer();
       }
       if (listener.process === process) this.listeners.delete(address);
     }
@@ -153,11 +153,11 @@
   }
 }
 
-/** One end of a connection: sends to its peer, receives for its owner. */
+/** One end of a connection: sends to its peer and passes received messages to its handlers. */
 class Endpoint implements Connection {
   peer: Endpoint | null = null;
   private open = true;
-  private held: unknown[] = [];
+  private delayed: unknown[] = [];
   private lastArrivalMs = 0;
 
   constructor(
@@ -171,16 +171,16 @@
   send(message: unknown): void {
     if (!this.open) return;
     this.process.work(this.network.workMs(message));
-    this.pass(message);
+    this.transmitWithFaults(message);
   }
 
-  /** What was written once is sent to many without further work. */
+  /** Sends a frame that is already encoded; this costs no processor time. */
   sendEncoded(frame: Buffer): void {
     const message = decodeFrame(frame);
-    if (this.open && message.ok) this.pass(message.val);
+    if (this.open && message.ok) this.transmitWithFaults(message.val);
   }
 
-  private pass(message: unknown): void {
+  private transmitWithFaults(message: unknown): void {
     const { random, options } = this.network;
     if (this.betweenControl && random.fraction() < options.lossShare) return;
     this.transmit(message);
@@ -192,62 +192,64 @@
     this.open = false;
     this.handlers.onClose(reason);
     const { peer } = this;
-    peer?.process.schedule(this.network.delay(), () => {
-      peer.breakOff();
+    peer?.process.schedule(this.network.drawDelayMs(), () => {
+      peer.closeByPeer();
     });
   }
 
-  /** The other end is gone. */
-  breakOff(): void {
+  /** Closes this end after the remote process has ended. */
+  closeByPeer(): void {
     if (!this.open) return;
     this.open = false;
     const { peer } = this;
     this.process.schedule(0, () => {
       this.handlers.onClose('closed by peer');
     });
-    peer?.breakOff();
+    peer?.closeByPeer();
   }
 
   private transmit(message: unknown): void {
     const { network, peer } = this;
     if (peer === null) return;
-    const overtaken = this.betweenControl ? network.random.fraction() * network.options.reorderMs : 0;
-    const departure = this.process.nowTrueMs() + this.process.workLeftMs;
-    const arrival = departure + network.delay() + overtaken;
-    const inOrder = this.betweenControl ? arrival : Math.max(arrival, this.lastArrivalMs);
-    this.lastArrivalMs = inOrder;
-    peer.arrive(message, inOrder - this.process.nowTrueMs());
+    const reorderDelayMs = this.betweenControl
+      ? network.random.fraction() * network.options.maxReorderDelayMs
+      : 0;
+    const departureMs = this.process.nowTrueMs() + this.process.remainingWorkMs;
+    const arrivalMs = departureMs + network.drawDelayMs() + reorderDelayMs;
+    const deliveryMs = this.betweenControl ? arrivalMs : Math.max(arrivalMs, this.lastArrivalMs);
+    this.lastArrivalMs = deliveryMs;
+    peer.scheduleArrival(message, deliveryMs - this.process.nowTrueMs());
   }
 
-  private arrive(message: unknown, afterMs: number): void {
+  private scheduleArrival(message: unknown, afterMs: number): void {
     this.process.schedule(afterMs, () => {
-      this.held.push(message);
-      if (this.held.length === 1) this.takeHeld();
+      this.delayed.push(message);
+      if (this.delayed.length === 1) this.deliverDelayed();
     });
   }
 
-  private take(message: unknown): void {
+  private receive(message: unknown): void {
     if (!this.open) return;
     this.process.work(this.network.workMs(message));
     this.handlers.onMessage(message);
   }
 
-  /** What a cut holds back arrives in its order once the cut has healed, and before all that was sent later. */
-  private takeHeld(): void {
+  /** Delivers messages delayed by a cut in their order once it has healed, before any that were sent later. */
+  private deliverDelayed(): void {
     if (!this.open) return;
     if (this.network.passes(this.peerProcess.name, this.process.name)) {
-      for (const message of this.held.splice(0)) this.take(message);
+      for (const message of this.delayed.splice(0)) this.receive(message);
       return;
     }
-    this.process.schedule(CUT_POLL_MS, () => {
-      this.takeHeld();
+    this.process.schedule(CUT_POLL_INTERVAL_MS, () => {
+      this.deliverDelayed();
     });
   }
 }
 
 class SimClient implements Client {
   private endpoint: Endpoint | null = null;
-  private pauseMs = FIRST_REDIAL_MS;
+  private redialDelayMs = INITIAL_REDIAL_DELAY_MS;
   private stopped = false;
 
   constructor(
@@ -284,18 +286,18 @@
   }
 
   private dial(): void {
-    this.process.schedule(this.network.delay() * 2, () => {
+    this.process.schedule(this.network.drawDelayMs() * 2, () => {
       if (this.stopped) return;
       const listener = this.network.listenerAt(this.address);
       if (listener === undefined) this.lost('connection refused');
-      else if (this.reaches(listener)) this.connect(listener);
+      else if (this.canConnect(listener)) this.connect(listener);
       else this.failAfterTimeout();
     });
   }
 
-  private reaches(listener: OpenListener): boolean {
-    const there = this.network.passes(this.process.name, listener.process.name);
-    return there && this.network.passes(listener.process.name, this.process.name);
+  private canConnect(listener: OpenListener): boolean {
+    const outgoing = this.network.passes(this.process.name, listener.process.name);
+    return outgoing && this.network.passes(listener.process.name, this.process.name);
   }
 
   private failAfterTimeout(): void {
@@ -306,9 +308,9 @@
 
   private connect(listener: OpenListener): void {
     const isControl = this.identity.role === 'control';
-    const own = new Endpoint(this.network, this.process, listener.process, isControl, {
+    const endpoint = new Endpoint(this.network, this.process, listener.process, isControl, {
       onMessage: (message) => {
-        this.pauseMs = FIRST_REDIAL_MS;
+        this.redialDelayMs = INITIAL_REDIAL_DELAY_MS;
         if (!this.stopped) this.handlers.onMessage(message);
       },
       onClose: (reason) => {
@@ -316,12 +318,12 @@
       },
     });
     const accepted = this.accept(listener, isControl);
-    own.peer = accepted;
-    accepted.peer = own;
-    this.endpoint = own;
+    endpoint.peer = accepted;
+    accepted.peer = endpoint;
+    this.endpoint = endpoint;
     const hello = { kind: 'hello', version: PROTOCOL_VERSION, ...this.identity };
-    accepted.greet(hello, this.network.delay());
-    this.handlers.onOpen(own);
+    accepted.deliverHello(hello, this.network.drawDelayMs());
+    this.handlers.onOpen(endpoint);
   }
 
   private accept(listener: OpenListener, betweenControl: boolean): AcceptedEndpoint {
@@ -334,10 +336,10 @@
     this.endpoint = null;
     if (this.stopped) return;
     this.handlers.onClose(reason);
-    this.process.schedule(this.process.trueMs(this.pauseMs), () => {
+    this.process.schedule(this.process.toTrueMs(this.redialDelayMs), () => {
       if (!this.stopped) this.dial();
     });
-    this.pauseMs = Math.min(this.pauseMs * 2, LONGEST_REDIAL_MS);
+    this.redialDelayMs = Math.min(this.redialDelayMs * 2, MAX_REDIAL_DELAY_MS);
   }
 }
 
@@ -357,29 +359,29 @@
     receiver.onEnd = () => listener.connections.delete(this);
   }
 
-  /** The hello arrives after `afterMs`; it is never lost, since a connection without it does not exist. */
-  greet(hello: unknown, afterMs: number): void {
+  /** Delivers the hello after `afterMs`; it is never lost, since a connection is not established without it. */
+  deliverHello(hello: unknown, afterMs: number): void {
     this.process.schedule(afterMs, () => {
       const checked = checkHello(hello, this.listener.token);
       if (typeof checked === 'string') this.close(checked);
-      else this.receiver.begin(this.listener.acceptor.onPeer(checked, this));
+      else this.receiver.activate(this.listener.acceptor.onPeer(checked, this));
     });
   }
 }
 
-/** Keeps what arrives before the hello was taken. */
+/** Buffers messages that arrive before the hello was accepted. */
 class DeferredHandlers implements PeerHandlers {
   onEnd: () => void = () => undefined;
   private handlers: PeerHandlers | null = null;
-  private early: unknown[] = [];
+  private buffered: unknown[] = [];
 
-  begin(handlers: PeerHandlers): void {
+  activate(handlers: PeerHandlers): void {
     this.handlers = handlers;
-    for (const message of this.early.splice(0)) handlers.onMessage(message);
+    for (const message of this.buffered.splice(0)) handlers.onMessage(message);
   }
 
   onMessage(message: unknown): void {
-    if (this.handlers === null) this.early.push(message);
+    if (this.handlers === null) this.buffered.push(message);
     else this.handlers.onMessage(message);
   }
 
--- a/lab/sim/sim-operator.ts
+++ b/lab/sim/sim-operator.ts
@@ -1,6 +1,6 @@
 /**
- * An operator of a simulated directory, as the platform's operators are: it sends a call to any replica, follows two
- * redirections, and sends the call again as it was to another replica until it has a clear answer.
+ * An operator of a simulated directory that behaves like the operator client of the platform: it sends a call to any
+ * replica, follows up to two redirections, and resends the same call to another replica until the answer is conclusive.
  */
 import type { Call, CallAnswer } from '../../platform/json-server.js';
 import { OperatorCalls } from '../../platform/operator-calls.js';
@@ -9,38 +9,44 @@
 import type { Random } from '../random.js';
 import type { SimReplica } from './sim-directory.js';
 
-/** Port that is named in redirections. */
+/** Port in redirections. */
 const CONTROL_PORT = 8_306;
 
-/** Time in ms for an answer, and how much longer it may take for each 1,000 characters of the call. */
+/** Answer timeout in ms, and its extension in ms for each 1,000 characters of the call. */
 const ANSWER_TIMEOUT_MS = 1_000;
-const ANSWER_TIMEOUT_PER_KILOBYTE_MS = 5;
+const ANSWER_TIMEOUT_MS_PER_KILOBYTE = 5;
 const CHARACTERS_PER_KILOBYTE = 1_000;
 
-/** Time in ms on the network, each way. */
-const TRANSIT_MS = 1;
+/** One-way network latency in ms. */
+const NETWORK_LATENCY_MS = 1;
 
-/** Pauses in ms before another replica is asked. */
-const FIRST_PAUSE_MS = 100;
-const LONGEST_PAUSE_MS = 1_000;
+/** Bounds in ms of the backoff before another replica is tried. */
+const INITIAL_BACKOFF_MS = 100;
+const MAX_BACKOFF_MS = 1_000;
 
-const MOST_REDIRECTIONS = 2;
+const MAX_REDIRECTIONS = 2;
 
-const STATUS = { ok: 200, elsewhere: 307, timeout: 408, tooMany: 429, firstOfServer: 500 } as const;
-const FIRST_REFUSAL = 400;
+const STATUS = {
+  ok: 200,
+  elsewhere: 307,
+  timeout: 408,
+  tooManyRequests: 429,
+  firstServerError: 500,
+} as const;
+const FIRST_CLIENT_ERROR = 400;
 
-/** What became of a call. */
+/** Progress and outcome of a call. */
 export interface SentCall {
   readonly sentMs: number;
-  /** When a replica first acknowledged it, whether or not the operator heard; null before. */
+  /** When a replica first acknowledged the call, whether or not the operator received it; null before. */
   acknowledgedMs: number | null;
-  /** Status of the answer that ended the call; null while there is none. */
+  /** Status of the conclusive answer; null while there is none. */
   status: number | null;
-  /** How often it was sent, redirections included. */
+  /** Number of attempts, including redirections. */
   tries: number;
 }
 
-/** The replicas that an operator chooses among, and the chance that an acknowledgement is lost on its way. */
+/** The replicas that an operator calls, and the probability that an acknowledgement is lost on the network. */
 export interface OperatedDirectory {
   readonly queue: EventQueue;
   readonly random: Random;
@@ -48,50 +54,50 @@
   lostAcknowledgements: number;
 }
 
-/** One try of a call. */
+/** One attempt of a call. */
 interface Attempt {
   readonly call: Call;
   readonly sent: SentCall;
-  /** Redirections that led to it. */
+  /** Redirections that led to this attempt. */
   readonly redirections: number;
-  /** Tries before it that had no clear answer. */
+  /** Earlier attempts without a conclusive answer. */
   readonly failures: number;
 }
 
-/** An operator. */
+/** An operator that calls a simulated directory. */
 export class SimOperator {
   constructor(private readonly directory: OperatedDirectory) {}
 
-  /** Sends a call until it is answered. */
+  /** Sends a call and repeats it until it is answered; the returned record is updated. */
   send(call: Call): SentCall {
     const { queue } = this.directory;
     const sent: SentCall = { sentMs: queue.nowMs, acknowledgedMs: null, status: null, tries: 0 };
-    this.ask(this.anyReplica(), { call, sent, redirections: 0, failures: 0 });
+    this.sendAttempt(this.randomReplica(), { call, sent, redirections: 0, failures: 0 });
     return sent;
   }
 
-  private anyReplica(): SimReplica | undefined {
+  private randomReplica(): SimReplica | undefined {
     const { random, replicas } = this.directory;
     return replicas[random.below(replicas.length)];
   }
 
-  private ask(replica: SimReplica | undefined, attempt: Attempt): void {
+  private sendAttempt(replica: SimReplica | undefined, attempt: Attempt): void {
     const { queue } = this.directory;
     const { call, sent } = attempt;
-    let open = true;
+    let pending = true;
     const end = (answer: CallAnswer | null): void => {
-      if (open) this.takeAnswer(attempt, answer);
-      open = false;
+      if (pending) this.handleAnswer(attempt, answer);
+      pending = false;
     };
     sent.tries += 1;
     queue.at(queue.nowMs + timeoutMs(call), () => {
       end(null);
     });
-    replica?.process.schedule(TRANSIT_MS, () => {
+    replica?.process.schedule(NETWORK_LATENCY_MS, () => {
       void this.answer(replica, call).then((answer) => {
         if (answer.status === STATUS.ok) sent.acknowledgedMs ??= queue.nowMs;
-        if (this.isLost(answer)) return;
-        queue.at(queue.nowMs + replica.process.workLeftMs + TRANSIT_MS, () => {
+        if (this.isAnswerLost(answer)) return;
+        queue.at(queue.nowMs + replica.process.remainingWorkMs + NETWORK_LATENCY_MS, () => {
           end(answer);
         });
       });
@@ -99,33 +105,33 @@
   }
 
   private async answer({ node }: SimReplica, call: Call): Promise<CallAnswer> {
-    if (node === null) return { status: STATUS.firstOfServer };
+    if (node === null) return { status: STATUS.firstServerError };
     return await new OperatorCalls(node, CONTROL_PORT, new Set()).take(call);
   }
 
-  private isLost({ status }: CallAnswer): boolean {
+  private isAnswerLost({ status }: CallAnswer): boolean {
     const { random, lostAcknowledgements } = this.directory;
     return status === STATUS.ok && random.fraction() < lostAcknowledgements;
   }
 
-  private takeAnswer(attempt: Attempt, answer: CallAnswer | null): void {
+  private handleAnswer(attempt: Attempt, answer: CallAnswer | null): void {
     const { sent, redirections } = attempt;
-    if (answer?.status === STATUS.elsewhere && redirections < MOST_REDIRECTIONS) {
-      this.ask(this.namedIn(answer), { ...attempt, redirections: redirections + 1 });
-    } else if (answer !== null && isClear(answer.status)) sent.status = answer.status;
-    else this.askLater(attempt);
+    if (answer?.status === STATUS.elsewhere && redirections < MAX_REDIRECTIONS) {
+      this.sendAttempt(this.redirectTarget(answer), { ...attempt, redirections: redirections + 1 });
+    } else if (answer !== null && isConclusive(answer.status)) sent.status = answer.status;
+    else this.retryLater(attempt);
   }
 
-  private askLater(attempt: Attempt): void {
+  private retryLater(attempt: Attempt): void {
     const { queue } = this.directory;
     const { failures } = attempt;
-    const pauseMs = Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** failures);
-    queue.at(queue.nowMs + pauseMs, () => {
-      this.ask(this.anyReplica(), { ...attempt, redirections: 0, failures: failures + 1 });
+    const backoffMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** failures);
+    queue.at(queue.nowMs + backoffMs, () => {
+      this.sendAttempt(this.randomReplica(), { ...attempt, redirections: 0, failures: failures + 1 });
     });
   }
 
-  private namedIn(answer: CallAnswer): SimReplica | undefined {
+  private redirectTarget(answer: CallAnswer): SimReplica | undefined {
     const location = answer.headers?.['location'] ?? '';
     const host = URL.canParse(location) ? new URL(location).hostname : '';
     return this.directory.replicas.find(({ name }) => parseAddress(name)?.host === host);
@@ -133,10 +139,10 @@
 }
 
 function timeoutMs({ body }: Call): number {
-  return ANSWER_TIMEOUT_MS + (body.length / CHARACTERS_PER_KILOBYTE) * ANSWER_TIMEOUT_PER_KILOBYTE_MS;
+  return ANSWER_TIMEOUT_MS + (body.length / CHARACTERS_PER_KILOBYTE) * ANSWER_TIMEOUT_MS_PER_KILOBYTE;
 }
 
-function isClear(status: number): boolean {
-  if (status === STATUS.timeout || status === STATUS.tooMany) return false;
-  return status === STATUS.ok || (status >= FIRST_REFUSAL && status < STATUS.firstOfServer);
+function isConclusive(status: number): boolean {
+  if (status === STATUS.timeout || status === STATUS.tooManyRequests) return false;
+  return status === STATUS.ok || (status >= FIRST_CLIENT_ERROR && status < STATUS.firstServerError);
 }
--- a/lab/sim/sim-process.ts
+++ b/lab/sim/sim-process.ts
@@ -1,35 +1,38 @@
-/** A simulated process: it can crash, freeze and go on, and its clocks run at their own rate. */
+/** A simulated process that can crash, freeze and resume, and whose clocks run at a rate of their own. */
 import { SuspensionClock } from '../../src/runtime/suspension-clock.js';
 import type { EventQueue } from './event-queue.js';
 
-/** Clocks of one process. */
+/** Clock parameters of one process. */
 export interface ClockOptions {
   /** Reading of the monotonic clock at the start, in ms. */
   readonly startMs: number;
-  /** How fast it runs; 1 is true time. */
+  /** Rate of the monotonic clock relative to true time; 1 means no drift. */
   readonly rate: number;
-  /** How far its wall clock is off, in ms. */
+  /** Offset of the wall clock from true time, in ms. */
   readonly wallOffsetMs: number;
 }
 
-/** Wall-clock time at which every simulation starts, in ms since 1970. */
+/** Wall-clock time at which every simulation starts, in ms since the Unix epoch. */
 export const SIMULATION_EPOCH_MS = 1_800_000_000_000;
 
-/** What two readings of a clock may differ by through rounding, in ms. */
-const CLOCK_GRAIN_MS = 0.001;
+/** Largest difference between two clock readings that is attributed to rounding, in ms. */
+const CLOCK_TOLERANCE_MS = 0.001;
 
-/** One process with one processor. Callbacks of an earlier life never run. */
+/** One process with one processor. Callbacks of an earlier incarnation never run. */
 export class SimProcess {
   private life = 0;
   private isAlive = false;
   private isFrozen = false;
-  private held: (() => void)[] = [];
-  /** Time for which its steady clock stood still, in ms of true time, and since when it does; null while it runs. */
+  private deferred: (() => void)[] = [];
+  /**
+   * Total time for which the steady clock was suspended, in ms of true time, and the start of the current suspension; null
+   * while the clock runs.
+   */
   private suspendedMs = 0;
   private suspendedSinceMs: number | null = null;
   private wallStepMs = 0;
-  /** When its processor has done all that it was given, in ms of true time. */
-  private idleAtMs = 0;
+  /** True time in ms at which the processor finishes its assigned work. */
+  private busyUntilMs = 0;
 
   constructor(
     readonly name: string,
@@ -37,28 +40,28 @@
     private readonly clock: ClockOptions,
   ) {}
 
-  /** Another process that reads the same clocks. */
+  /** Creates another process that reads the same clocks. */
   onSameMachine(name: string): SimProcess {
     return new SimProcess(name, this.queue, this.clock);
   }
 
-  /** Whether it has been started and has not crashed; a frozen process is alive. */
+  /** Whether the process was started and has not crashed; a frozen process counts as alive. */
   get alive(): boolean {
     return this.isAlive;
   }
 
-  /** Whether it is frozen. */
+  /** Whether the process is frozen. */
   get frozen(): boolean {
     return this.isFrozen;
   }
 
-  /** Its steady clock, in ms; it does not count the time for which its machine was suspended. */
+  /** Steady clock in ms; it excludes the time for which the machine was suspended. */
   steadyMs(): number {
     const sinceMs = this.suspendedSinceMs === null ? 0 : this.queue.nowMs - this.suspendedSinceMs;
     return this.clock.startMs + (this.queue.nowMs - this.suspendedMs - sinceMs) * this.clock.rate;
   }
 
-  /** The clocks that a daemon of this process reads; a new life reads new ones. */
+  /** Creates the clocks that a daemon of this process reads; each incarnation gets new ones. */
   clocks(): { nowMs(): number; steadyMs(): number } {
     const clock = new SuspensionClock(
       () => this.steadyMs(),
@@ -67,99 +70,99 @@
     return { nowMs: () => clock.nowMs(), steadyMs: () => this.steadyMs() };
   }
 
-  /** True time, which no process can read, in ms. */
+  /** True time in ms, which real processes cannot read. */
   nowTrueMs(): number {
     return this.queue.nowMs;
   }
 
-  /** Its wall clock, in ms since 1970. */
+  /** Wall clock in ms since the Unix epoch. */
   wallMs(): number {
     const offsetMs = this.clock.wallOffsetMs + this.wallStepMs;
     return Math.round(SIMULATION_EPOCH_MS + this.queue.nowMs + offsetMs);
   }
 
-  /** Its processor works for so many ms of true time; what comes due meanwhile waits. */
+  /** Occupies the processor for `ms` of true time; callbacks that come due meanwhile wait. */
   work(ms: number): void {
-    this.idleAtMs = this.nowTrueMs() + this.workLeftMs + ms;
+    this.busyUntilMs = this.nowTrueMs() + this.remainingWorkMs + ms;
   }
 
-  /** Time until its processor has done all that it was given, in ms of true time. */
-  get workLeftMs(): number {
-    return Math.max(0, this.idleAtMs - this.nowTrueMs());
+  /** Time until the processor finishes its assigned work, in ms of true time. */
+  get remainingWorkMs(): number {
+    return Math.max(0, this.busyUntilMs - this.nowTrueMs());
   }
 
-  /** True time that passes while its clock moves on by `ms`. */
-  trueMs(ms: number): number {
+  /** Returns the true time that elapses while the process clock advances by `ms`. */
+  toTrueMs(ms: number): number {
     return ms / this.clock.rate;
   }
 
-  /** Starts a new life. */
+  /** Starts a new incarnation. */
   start(): void {
     this.life += 1;
     this.isAlive = true;
     this.isFrozen = false;
-    this.idleAtMs = 0;
+    this.busyUntilMs = 0;
   }
 
-  /** Ends the present life; nothing that it has scheduled will run. */
+  /** Ends the current incarnation; callbacks that it scheduled never run. */
   crash(): void {
-    this.countSuspension();
+    this.endSuspension();
     this.life += 1;
     this.isAlive = false;
     this.isFrozen = false;
-    this.held = [];
+    this.deferred = [];
   }
 
-  /** Stops it; what comes due waits. */
+  /** Freezes the process; callbacks that come due wait until `thaw`. */
   freeze(): void {
     if (this.isAlive) this.isFrozen = true;
   }
 
-  /** Sets its wall clock forward, or back. */
+  /** Steps the wall clock forward, or back for a negative `ms`. */
   stepWall(ms: number): void {
     this.wallStepMs += ms;
   }
 
-  /** Its machine is suspended: it stands still, and its monotonic clock with it; the wall clock does not. */
+  /** Suspends the machine: the process and its monotonic clock stop; the wall clock continues. */
   suspend(): void {
     if (!this.isAlive || this.isFrozen) return;
     this.isFrozen = true;
     this.suspendedSinceMs = this.queue.nowMs;
   }
 
-  /** Goes on with everything that came due meanwhile, in order. */
+  /** Resumes the process and runs, in order, the callbacks that came due while it was frozen. */
   thaw(): void {
     if (!this.isFrozen) return;
     this.isFrozen = false;
-    this.countSuspension();
-    for (const run of this.held.splice(0)) this.queue.at(this.queue.nowMs, run);
+    this.endSuspension();
+    for (const run of this.deferred.splice(0)) this.queue.at(this.queue.nowMs, run);
   }
 
-  /** Runs `run` once the steady clock has moved on by `ms`; a timer, which stands still with its clock. */
+  /** Runs `run` once the steady clock has advanced by `ms`; such a timer stops while the clock is suspended. */
   scheduleOnClock(ms: number, run: () => void): void {
     const dueMs = this.steadyMs() + ms;
-    this.schedule(this.trueMs(ms), () => {
+    this.schedule(this.toTrueMs(ms), () => {
       const leftMs = dueMs - this.steadyMs();
-      if (leftMs > CLOCK_GRAIN_MS) this.scheduleOnClock(leftMs, run);
+      if (leftMs > CLOCK_TOLERANCE_MS) this.scheduleOnClock(leftMs, run);
       else run();
     });
   }
 
-  private countSuspension(): void {
+  private endSuspension(): void {
     if (this.suspendedSinceMs !== null) this.suspendedMs += this.queue.nowMs - this.suspendedSinceMs;
     this.suspendedSinceMs = null;
   }
 
   /**
-   * Runs `run` in this process's present life after `trueMs` of true time; held while it is frozen. What a crash sets off
-   * in the process itself, as the ends of its connections, never runs.
+   * Runs `run` in the current incarnation after `trueMs` of true time; deferred while the process is frozen. Callbacks
+   * that a crash would trigger in the process itself, such as closed connections, never run.
    */
   schedule(trueMs: number, run: () => void): void {
     const { life } = this;
     const attempt = (): void => {
       if (life !== this.life || !this.isAlive) return;
-      if (this.isFrozen) this.held.push(attempt);
-      else if (this.workLeftMs > 0) this.queue.at(this.idleAtMs, attempt);
+      if (this.isFrozen) this.deferred.push(attempt);
+      else if (this.remainingWorkMs > 0) this.queue.at(this.busyUntilMs, attempt);
       else run();
     };
     this.queue.at(this.queue.nowMs + trueMs, attempt);
--- a/lab/sim/sim-router.ts
+++ b/lab/sim/sim-router.ts
@@ -14,7 +14,7 @@
 import type { SimNetwork } from './sim-network.js';
 import type { SimProcess } from './sim-process.js';
 
-const OWNER_WAIT_MS = 300;
+const MAX_OWNER_WAIT_MS = 300;
 const TOKEN = 'simulation-token-0123';
 
 /** A caller's request. */
@@ -23,17 +23,18 @@
   readonly key: string;
   readonly sendingId: string;
   readonly idempotencyKey: string | null;
-  /** Time that the caller leaves, in ms. */
-  readonly budgetMs: number;
+  /** Time until the deadline of the caller, in ms. */
+  readonly remainingMs: number;
 }
 
-/** How it ended. */
-export type RoutedEnd = { readonly kind: 'answered' } | { readonly kind: 'ended'; readonly refusal: Refusal };
+/** Outcome of a request. */
+export type RoutedOutcome =
+  { readonly kind: 'answered' } | { readonly kind: 'ended'; readonly refusal: Refusal };
 
 type AttemptResult =
   { readonly kind: 'answered' } | { readonly kind: 'failed'; readonly failure: AttemptFailure };
 
-/** One life of a router. */
+/** One incarnation of a router. */
 export class SimRouter {
   readonly table = new WatchedTable();
   private readonly view: RoutingView;
@@ -62,17 +63,18 @@
     };
   }
 
-  /** Handles one request to its end. */
-  async handle(request: RoutedRequest): Promise<RoutedEnd> {
-    const deadlineMs = this.runtime.nowMs() + request.budgetMs;
+  /** Routes one request and retries it as the attempt policy allows. */
+  async handle(request: RoutedRequest): Promise<RoutedOutcome> {
+    const deadlineMs = this.runtime.nowMs() + request.remainingMs;
     const service = this.table.services.get(request.service);
-    if (service === undefined) return ended(refusal('not-ready', 'no table yet', OWNER_RETRY_AFTER_MS));
+    if (service === undefined) return endedWith(refusal('not-ready', 'no table yet', OWNER_RETRY_AFTER_MS));
     let waitedMs = 0;
     for (let attempts = 0; ;) {
       const target = selectOwner(this.view, request.service, service, request.key);
       if (typeof target === 'string') {
-        if (waitedMs >= OWNER_WAIT_MS) return ended(refusal(target, 'no owner', OWNER_RETRY_AFTER_MS));
-        waitedMs += await this.pause(OWNER_WAIT_MS - waitedMs);
+        if (waitedMs >= MAX_OWNER_WAIT_MS)
+          return endedWith(refusal(target, 'no owner', OWNER_RETRY_AFTER_MS));
+        waitedMs += await this.waitForUpdate(MAX_OWNER_WAIT_MS - waitedMs);
         continue;
       }
       attempts += 1;
@@ -85,15 +87,15 @@
         remainingMs: deadlineMs - this.runtime.nowMs(),
         takeRetry: () => true,
       });
-      if (decision.kind === 'end') return ended(decision.refusal);
-      waitedMs += await this.pause(decision.pauseMs);
-      if (waitedMs >= OWNER_WAIT_MS)
-        return ended(refusal('no-owner', 'changing owner', OWNER_RETRY_AFTER_MS));
+      if (decision.kind === 'end') return endedWith(decision.refusal);
+      waitedMs += await this.waitForUpdate(decision.pauseMs);
+      if (waitedMs >= MAX_OWNER_WAIT_MS)
+        return endedWith(refusal('no-owner', 'changing owner', OWNER_RETRY_AFTER_MS));
     }
   }
 
-  /** Waits for a newer table for at most `ms`; returns the time that passed. */
-  private async pause(ms: number): Promise<number> {
+  /** Waits for a table update for at most `ms`; returns the elapsed time. */
+  private async waitForUpdate(ms: number): Promise<number> {
     const startedMs = this.runtime.nowMs();
     await new Promise<void>((resolve) => {
       const cancel = this.runtime.after(ms, resolve);
@@ -105,50 +107,50 @@
     return this.runtime.nowMs() - startedMs;
   }
 
-  private async attempt(request: RoutedRequest, target: Target, budgetMs: number): Promise<AttemptResult> {
+  private async attempt(request: RoutedRequest, target: Target, remainingMs: number): Promise<AttemptResult> {
     const backend = this.backends.get(target.backend);
     if (backend?.process.alive !== true || target.fence === null) {
-      await this.pause(0);
+      await this.waitForUpdate(0);
       return { kind: 'failed', failure: { kind: 'not-sent', gone: true } };
     }
     const { shard, epoch } = target.fence;
     const { key, sendingId, idempotencyKey } = request;
-    return await this.exchange(backend, { shard, epoch, key, sendingId, idempotencyKey }, budgetMs);
+    return await this.exchange(backend, { shard, epoch, key, sendingId, idempotencyKey }, remainingMs);
   }
 
   private async exchange(
     backend: SimBackend,
     request: BackendRequest,
-    budgetMs: number,
+    remainingMs: number,
   ): Promise<AttemptResult> {
     return await new Promise((resolve) => {
       this.deliver(backend.process, this.process.name, () => {
         backend.serve(request, (answer) => {
           this.deliver(this.process, backend.process.name, () => {
-            resolve(toResult(answer));
+            resolve(toAttemptResult(answer));
           });
         });
       });
-      this.runtime.after(Math.max(0, budgetMs), () => {
+      this.runtime.after(Math.max(0, remainingMs), () => {
         resolve({ kind: 'failed', failure: { kind: 'deadline-passed', sent: true } });
       });
     });
   }
 
-  /** Carries a message to `process`, waiting while the way is cut. */
+  /** Delivers a message to `process`; delayed while the connection is cut. */
   private deliver(process: SimProcess, from: string, run: () => void): void {
-    process.schedule(this.network.delay(), () => {
+    process.schedule(this.network.drawDelayMs(), () => {
       if (this.network.passes(from, process.name)) run();
       else this.deliver(process, from, run);
     });
   }
 }
 
-function toResult(answer: BackendAnswer): AttemptResult {
+function toAttemptResult(answer: BackendAnswer): AttemptResult {
   if (answer.kind === 'answered') return answer;
   return { kind: 'failed', failure: { kind: 'refused', code: answer.code, retryAfterMs: 0 } };
 }
 
-function ended(given: Refusal): RoutedEnd {
-  return { kind: 'ended', refusal: given };
+function endedWith(cause: Refusal): RoutedOutcome {
+  return { kind: 'ended', refusal: cause };
 }
