--- a/lab/sim/sim-run.ts
+++ b/lab/sim/sim-run.ts
@@ -1,8 +1,8 @@
-/** Runs one simulation from start to end and judges its history. */
+/** Runs one simulation from start to end and checks its history. */
 import { judge } from '../fleet/judge.js';
 import type { ExecutionRecord } from '../journal.js';
 import { Random } from '../random.js';
-import { FaultRunner, type DrainedStretch } from './fault-runner.js';
+import { FaultRunner, type DrainedInterval } from './fault-runner.js';
 import type { SimViolation } from './invariants.js';
 import type { Scenario } from './scenarios.js';
 import type { SimFault } from './sim-faults.js';
@@ -10,25 +10,25 @@
 import { SERVICE, SimWorld } from './sim-world.js';
 
 const READY_MS = 3_500;
-const CALLS_FROM_MS = 2_000;
+const SETUP_MS = 2_000;
 const CALLS_UNTIL_MS = 13_000;
-const LAST_REPAIR_MS = 20_000;
+const REPAIR_LIMIT_MS = 20_000;
 const SETTLE_MS = 9_000;
-const CHECK_MS = 5;
-const FIRST_DEADLINE_MS = 2_000;
-const SETUP_TRIES = 10;
+const CHECK_INTERVAL_MS = 5;
+const INITIAL_DEADLINE_MS = 2_000;
+const SETUP_ATTEMPTS = 10;
 
-/** What to run. */
+/** Options of a simulation run. */
 export interface SimRunOptions {
   readonly scenario: Scenario;
   readonly seed: number;
-  /** Faults in place of those that the scenario draws from the seed. */
+  /** Faults that replace those drawn by the scenario from the seed. */
   readonly faults?: readonly SimFault[];
   readonly withoutGuard?: GuardName | null;
   readonly trace?: (line: string) => void;
 }
 
-/** What came of it. */
+/** Result of a simulation run. */
 export interface SimResult {
   readonly scenario: string;
   readonly seed: number;
@@ -53,19 +53,19 @@
   await world.start();
   const runner = new FaultRunner(world);
   const repaired = new Set<SimFault>();
-  void setUp(world);
+  void submitFirstConfiguration(world);
   for (const fault of faults) void runner.run(fault).then(() => repaired.add(fault));
   world.callers.run(CALLS_UNTIL_MS);
-  checkOften(world);
+  checkPeriodically(world);
   await runUntil(world, READY_MS);
   const sessionsAtStart = sessionsOf(world);
   await runUntil(world, CALLS_UNTIL_MS);
-  while (repaired.size < faults.length && world.queue.nowMs < LAST_REPAIR_MS) {
+  while (repaired.size < faults.length && world.queue.nowMs < REPAIR_LIMIT_MS) {
     await runUntil(world, world.queue.nowMs + 500);
   }
   world.network.healAll();
   await runUntil(world, world.queue.nowMs + SETTLE_MS);
-  judgeWorld(world, runner.drained, sessionsAtStart);
+  checkHistory(world, runner.drained, sessionsAtStart);
   return {
     scenario: scenario.name,
     seed,
@@ -78,23 +78,23 @@
   };
 }
 
-/** Submits the first configuration as soon as somebody leads. */
-async function setUp(world: SimWorld): Promise<void> {
-  for (let attempt = 0; attempt < SETUP_TRIES; attempt += 1) {
-    await world.sleep(CALLS_FROM_MS / SETUP_TRIES);
-    const outcome = await world.configure('first', 0, FIRST_DEADLINE_MS);
+/** Submits the first configuration, retrying until there is a leader that accepts it. */
+async function submitFirstConfiguration(world: SimWorld): Promise<void> {
+  for (let attempt = 0; attempt < SETUP_ATTEMPTS; attempt += 1) {
+    await world.sleep(SETUP_MS / SETUP_ATTEMPTS);
+    const outcome = await world.configure('first', 0, INITIAL_DEADLINE_MS);
     if (outcome?.kind === 'configured') return;
   }
 }
 
-function checkOften(world: SimWorld): void {
-  world.queue.at(world.queue.nowMs + CHECK_MS, () => {
-    world.checkMoment();
-    checkOften(world);
+function checkPeriodically(world: SimWorld): void {
+  world.queue.at(world.queue.nowMs + CHECK_INTERVAL_MS, () => {
+    world.checkInvariants();
+    checkPeriodically(world);
   });
 }
 
-/** Runs events, each followed by everything that it has set off without time passing. */
+/** Runs events up to `untilMs`, after each also the microtasks and immediates that it queued. */
 async function runUntil(world: SimWorld, untilMs: number): Promise<void> {
   while (world.queue.runNext(untilMs)) {
     await new Promise((resolve) => setImmediate(resolve));
@@ -105,18 +105,19 @@
   return [...(world.leader()?.node?.state.sessions.keys() ?? [])];
 }
 
-function judgeWorld(
+function checkHistory(
   world: SimWorld,
-  drained: readonly DrainedStretch[],
+  drained: readonly DrainedInterval[],
   sessionsAtStart: readonly number[],
 ): void {
-  for (const { promise, detail } of judge(world.journal)) world.violated({ invariant: promise, detail });
-  for (const violation of findWorkWhileDrained(world, drained)) world.violated(violation);
-  judgeEnd(world);
-  if (world.options.scenario.keepsOwners) judgeSessions(world, sessionsAtStart);
+  for (const { promise, detail } of judge(world.journal))
+    world.recordViolation({ invariant: promise, detail });
+  for (const violation of findWorkWhileDrained(world, drained)) world.recordViolation(violation);
+  checkFinalState(world);
+  if (world.options.scenario.keepsOwners) checkSessionsKept(world, sessionsAtStart);
 }
 
-function findWorkWhileDrained(world: SimWorld, drained: readonly DrainedStretch[]): SimViolation[] {
+function findWorkWhileDrained(world: SimWorld, drained: readonly DrainedInterval[]): SimViolation[] {
   const executions = world.journal.filter((record): record is ExecutionRecord => record.kind === 'execution');
   return drained.flatMap(({ backend, fromMs, toMs }) => {
     const late = executions.filter((run) => run.backend === backend && run.atMs > fromMs && run.atMs < toMs);
@@ -127,34 +128,37 @@
   });
 }
 
-/** After everything was repaired: one leader, all shards owned, the newest configuration everywhere. */
-function judgeEnd(world: SimWorld): void {
+/** Checks the state after all repairs: a leader, an owner for every shard, the newest configuration everywhere. */
+function checkFinalState(world: SimWorld): void {
   const state = world.leader()?.node?.state;
   if (state === undefined) {
-    world.violated({ invariant: 'recovers', detail: 'no replica leads at the end' });
+    world.recordViolation({ invariant: 'recovers', detail: 'no replica leads at the end' });
     return;
   }
   const rows = state.shards.get(SERVICE)?.rows ?? [];
   const unowned = rows.filter((row) => row.owner === null).length;
   if (rows.length === 0 || unowned > 0) {
-    world.violated({ invariant: 'recovers', detail: `${unowned} of ${rows.length} shards have no owner` });
+    world.recordViolation({
+      invariant: 'recovers',
+      detail: `${unowned} of ${rows.length} shards have no owner`,
+    });
   }
   const { revision } = state.configuration;
   const { revision: acknowledged } = world.configurations;
   if (revision < acknowledged) {
     const detail = `revision ${acknowledged} was acknowledged, ${revision} is in force`;
-    world.violated({ invariant: 'acknowledged-survives', detail });
+    world.recordViolation({ invariant: 'acknowledged-survives', detail });
   }
   for (const { name, table } of world.routers) {
     if (table.revision === revision) continue;
     const detail = `${name} has revision ${table.revision}, control ${revision}`;
-    world.violated({ invariant: 'in-force-everywhere', detail });
+    world.recordViolation({ invariant: 'in-force-everywhere', detail });
   }
 }
 
-/** Faults of control and routers alone must not cost anybody a session, and so no key its owner. */
-function judgeSessions(world: SimWorld, sessionsAtStart: readonly number[]): void {
+/** Faults of control replicas and routers alone must not end any session, so that no key loses its owner. */
+function checkSessionsKept(world: SimWorld, sessionsAtStart: readonly number[]): void {
   const lost = sessionsAtStart.filter((id) => world.leader()?.node?.state.sessions.has(id) !== true);
   if (lost.length === 0) return;
-  world.violated({ invariant: 'owners-are-kept', detail: `sessions ${lost.join(', ')} were lost` });
+  world.recordViolation({ invariant: 'owners-are-kept', detail: `sessions ${lost.join(', ')} were lost` });
 }
--- a/lab/sim/sim-runtime.ts
+++ b/lab/sim/sim-runtime.ts
@@ -1,9 +1,9 @@
-/** The runtime that a daemon gets in a simulation. */
+/** The `Runtime` given to a daemon in a simulation. */
 import type { Runtime } from '../../src/runtime/runtime.js';
 import type { SimNetwork } from './sim-network.js';
 import type { SimProcess } from './sim-process.js';
 
-/** Makes the runtime of a process; `nextId` gives strings that are the same for the same seed. */
+/** Creates the runtime of a process; `nextId` returns identifiers that are deterministic for a seed. */
 export function simRuntime(process: SimProcess, network: SimNetwork, nextId: () => string): Runtime {
   return {
     ...process.clocks(),
--- a/lab/sim/sim-world.ts
+++ b/lab/sim/sim-world.ts
@@ -1,4 +1,4 @@
-/** One simulated deployment: real daemons on virtual time, network and disks, with callers and operators. */
+/** One simulated deployment: the real daemons on virtual time, network and disks, with callers and operators. */
 import { AgentNode } from '../../src/agent/agent-node.js';
 import { configurationSchema, type ConfigurationDocument } from '../../src/config/configuration.js';
 import {
@@ -17,14 +17,14 @@
 import {
   AcknowledgedConfigurations,
   AppliedEntries,
-  findTwoServing,
+  findMultipleOwners,
   type SimViolation,
 } from './invariants.js';
 import { SIM_SIZE, type Scenario } from './scenarios.js';
 import { SimBackend } from './sim-backend.js';
 import { SimCallers } from './sim-callers.js';
 import { SimDisk, type SimReplicaStore } from './sim-disk.js';
-import { diskFaults, grantTables, leaseTable, type GuardName } from './sim-guards.js';
+import { diskFaults, grantTableFactory, createLeaseTable, type GuardName } from './sim-guards.js';
 import { SimNetwork } from './sim-network.js';
 import { SimProcess } from './sim-process.js';
 import { SimRouter } from './sim-router.js';
@@ -36,12 +36,12 @@
 const SHARDS = 6;
 const SESSION_TERM_MS = 1_500;
 const TOKEN = 'simulation-token-0123';
-const SNAPSHOT_EVERY_ENTRIES = 25;
-const LARGEST_WALL_OFFSET_MS = 100;
+const SNAPSHOT_INTERVAL_ENTRIES = 25;
+const MAX_WALL_OFFSET_MS = 100;
 const OPERATOR_TIMEOUT_MS = 3_000;
 const PORT = 1;
 
-/** One control replica over all its lives. */
+/** One control replica across all its incarnations. */
 export interface SimControl {
   readonly name: string;
   readonly process: SimProcess;
@@ -50,24 +50,24 @@
   store: SimReplicaStore | null;
 }
 
-/** One machine with a back end and its agent. */
+/** One machine that runs a back end and its agent. */
 export interface SimMachine {
   readonly backend: SimBackend;
   readonly agentProcess: SimProcess;
   agent: AgentNode | null;
 }
 
-/** What a world is made from. */
+/** Parameters of a world. */
 export interface WorldOptions {
   readonly scenario: Scenario;
   readonly seed: number;
-  /** Guard that is left out, or null. */
+  /** Guard that is disabled, or null. */
   readonly withoutGuard: GuardName | null;
-  /** Called for each line of the trace; null where none is wanted. */
+  /** Receives each line of the trace; null disables tracing. */
   readonly trace: ((line: string) => void) | null;
 }
 
-/** The deployment. */
+/** A simulated deployment. */
 export class SimWorld {
   readonly queue = new EventQueue();
   readonly random: Random;
@@ -79,7 +79,7 @@
   readonly journal: JournalRecord[] = [];
   readonly violations: SimViolation[] = [];
   readonly configurations = new AcknowledgedConfigurations();
-  private readonly applied = new AppliedEntries();
+  private readonly appliedEntries = new AppliedEntries();
   private readonly backends: ReadonlyMap<string, SimBackend>;
   private readonly routerProcesses: SimProcess[];
   private readonly operator: SimProcess;
@@ -91,18 +91,18 @@
       delayMs: [0.2, 2.5],
       lossShare: 0.01,
       duplicateShare: 0.01,
-      reorderMs: 4,
+      maxReorderDelayMs: 4,
       workMsPerKilobyte: 0,
     });
-    this.control = Array.from({ length: SIM_SIZE.control }, (_, at) => this.makeControl(at));
-    this.machines = Array.from({ length: SIM_SIZE.machines }, (_, at) => this.makeMachine(at));
+    this.control = Array.from({ length: SIM_SIZE.control }, (_, at) => this.createControl(at));
+    this.machines = Array.from({ length: SIM_SIZE.machines }, (_, at) => this.createMachine(at));
     this.backends = new Map(this.machines.map(({ backend }) => [backend.name, backend]));
     this.routerProcesses = Array.from({ length: SIM_SIZE.routers }, (_, at) =>
       this.makeProcess(`router-${at}`),
     );
     this.operator = this.makeProcess('operator');
     this.operator.start();
-    this.callers = this.makeCallers();
+    this.callers = this.createCallers();
   }
 
   /** Starts every process. */
@@ -115,13 +115,13 @@
     this.trace('all processes are started');
   }
 
-  /** Writes a line of the trace. */
+  /** Writes a line to the trace. */
   trace(line: string): void {
     this.options.trace?.(`${this.queue.nowMs.toFixed(3)} ${line}`);
   }
 
-  /** Records a broken invariant. */
-  violated(violation: SimViolation | null): void {
+  /** Records a broken invariant; null is ignored. */
+  recordViolation(violation: SimViolation | null): void {
     if (violation === null) return;
     this.trace(`VIOLATION ${violation.invariant}: ${violation.detail}`);
     this.violations.push(violation);
@@ -129,7 +129,7 @@
 
   // ---- processes
 
-  /** Starts a life of a control replica. */
+  /** Starts an incarnation of a control replica. */
   async startControl(control: SimControl): Promise<void> {
     const { name, process, disk } = control;
     process.start();
@@ -145,15 +145,15 @@
         throw error;
       },
       onApplied: (entry) => {
-        this.violated(this.applied.check(name, entry));
+        this.recordViolation(this.appliedEntries.recordApplied(name, entry));
       },
-      ...this.guardedLeases(),
+      ...this.leaseTableOverride(),
     });
     control.node = started.unwrap();
     this.trace(`${name} starts as ${store.owner.identity}`);
   }
 
-  /** Crashes a control replica. */
+  /** Crashes a control replica and discards its disk if `loseDisk` is set. */
   crashControl(control: SimControl, loseDisk: boolean): void {
     control.store?.crash();
     control.node = null;
@@ -167,7 +167,7 @@
     await this.startAgent(machine);
   }
 
-  /** Starts a life of an agent. */
+  /** Starts an incarnation of an agent. */
   async startAgent(machine: SimMachine): Promise<void> {
     const { agentProcess, backend } = machine;
     agentProcess.start();
@@ -193,12 +193,12 @@
     machine.agent = started.unwrap();
   }
 
-  /** Starts a life of a router. */
+  /** Starts an incarnation of a router. */
   startRouter(at: number): void {
     const process = this.routerProcesses[at];
     if (process === undefined) return;
     process.start();
-    const life = this.nextId();
+    const incarnation = this.nextId();
     const router: SimRouter = new SimRouter(
       process.name,
       process,
@@ -207,36 +207,36 @@
       this.members(),
       this.backends,
       () => {
-        this.violated(this.configurations.seen(life, router.table.revision));
+        this.recordViolation(this.configurations.recordInForce(incarnation, router.table.revision));
       },
     );
     this.routers[at] = router;
   }
 
-  /** Ends a life of a process. */
+  /** Crashes a process and breaks its connections. */
   crash(process: SimProcess): void {
     process.crash();
     this.network.crashed(process);
   }
 
-  /** The control replica that leads by its own view, if any. */
+  /** Returns the control replica that considers itself leader; the one with the newest term if there are several. */
   leader(): SimControl | undefined {
-    const leading = this.control.filter(({ node, process }) => process.alive && node?.leading === true);
-    return leading.reduce<SimControl | undefined>((best, control) => {
-      return termOf(control) > (best === undefined ? -1 : termOf(best)) ? control : best;
+    const leaders = this.control.filter(({ node, process }) => process.alive && node?.leading === true);
+    return leaders.reduce<SimControl | undefined>((newest, control) => {
+      return termOf(control) > (newest === undefined ? -1 : termOf(newest)) ? control : newest;
     }, undefined);
   }
 
   // ---- operators
 
-  /** Submits a command to whoever leads, as an operator does; null when no answer came in time. */
+  /** Submits a command to the leader, as an operator does; resolves to null if no answer arrives in time. */
   async submit(command: ControlCommand): Promise<CommandOutcome | null> {
     const leader = this.leader();
     if (leader === undefined) return null;
     return await new Promise((resolve) => {
-      leader.process.schedule(this.network.delay(), () => {
+      leader.process.schedule(this.network.drawDelayMs(), () => {
         void leader.node?.propose(command).then((result) => {
-          this.operator.schedule(this.network.delay(), () => {
+          this.operator.schedule(this.network.drawDelayMs(), () => {
             resolve(result.ok ? result.val : null);
           });
         });
@@ -247,7 +247,7 @@
     });
   }
 
-  /** Submits a configuration and notes an acknowledgement. */
+  /** Submits a configuration and records its acknowledgement. */
   async configure(
     submissionId: string,
     baseRevision: number,
@@ -257,7 +257,7 @@
     const outcome = await this.submit({ kind: 'configure', submissionId, baseRevision, document });
     if (outcome?.kind === 'configured') {
       this.trace(`${submissionId} is acknowledged as revision ${outcome.revision}`);
-      this.violated(this.configurations.acknowledged(submissionId, outcome.revision));
+      this.recordViolation(this.configurations.recordAcknowledged(submissionId, outcome.revision));
     }
     return outcome;
   }
@@ -269,42 +269,42 @@
     });
   }
 
-  /** Checks what must hold at every moment. */
-  checkMoment(): void {
+  /** Checks the invariants that must hold at every moment. */
+  checkInvariants(): void {
     const servable = this.machines
       .filter(({ backend }) => backend.process.alive)
       .map(({ backend }) => ({ backend: backend.name, shards: backend.grants.servableShards() }));
-    for (const violation of findTwoServing(servable)) this.violated(violation);
+    for (const violation of findMultipleOwners(servable)) this.recordViolation(violation);
   }
 
-  // ---- making
+  // ---- construction
 
   private makeProcess(name: string): SimProcess {
-    const { driftShare } = this.options.scenario;
-    const rate = 1 + (this.random.fraction() * 2 - 1) * driftShare;
+    const { maxClockDrift } = this.options.scenario;
+    const rate = 1 + (this.random.fraction() * 2 - 1) * maxClockDrift;
     const startMs = this.random.below(1_000_000);
-    const wallOffsetMs = (this.random.fraction() * 2 - 1) * LARGEST_WALL_OFFSET_MS;
+    const wallOffsetMs = (this.random.fraction() * 2 - 1) * MAX_WALL_OFFSET_MS;
     return new SimProcess(name, this.queue, { startMs, rate, wallOffsetMs });
   }
 
-  private makeControl(at: number): SimControl {
+  private createControl(at: number): SimControl {
     const name = `control-${at}`;
     const faults = diskFaults(this.options.withoutGuard);
     const disk = new SimDisk(name, () => this.nextId(), this.random, faults);
     return { name, process: this.makeProcess(name), disk, node: null, store: null };
   }
 
-  /** A back end and its agent read the same clock, since they stand on the same machine. */
-  private makeMachine(at: number): SimMachine {
+  /** A back end and its agent share a clock, since they run on the same machine. */
+  private createMachine(at: number): SimMachine {
     const process = this.makeProcess(`backend-${at}`);
     const agentProcess = process.onSameMachine(`agent-${at}`);
-    const makeGrants = grantTables(this.options.withoutGuard);
+    const createGrants = grantTableFactory(this.options.withoutGuard);
     const backend = new SimBackend(
       `backend-${at}`,
       SERVICE,
       process,
       this.random,
-      makeGrants,
+      createGrants,
       (execution) => {
         this.journal.push(execution);
       },
@@ -312,7 +312,7 @@
     return { backend, agentProcess, agent: null };
   }
 
-  private makeCallers(): SimCallers {
+  private createCallers(): SimCallers {
     const process = this.makeProcess('callers');
     process.start();
     return new SimCallers(process, this.network, this.random, {
@@ -326,8 +326,8 @@
     });
   }
 
-  private guardedLeases(): { leases: NonNullable<ReturnType<typeof leaseTable>> } | object {
-    const leases = leaseTable(this.options.withoutGuard, SESSION_TERM_MS);
+  private leaseTableOverride(): { leases: NonNullable<ReturnType<typeof createLeaseTable>> } | object {
+    const leases = createLeaseTable(this.options.withoutGuard, SESSION_TERM_MS);
     return leases === undefined ? {} : { leases };
   }
 
@@ -354,7 +354,7 @@
       operator: addressOf(name),
       members: this.members(),
       timing: { sessionTermMs: SESSION_TERM_MS },
-      snapshotEveryEntries: SNAPSHOT_EVERY_ENTRIES,
+      snapshotEveryEntries: SNAPSHOT_INTERVAL_ENTRIES,
     });
   }
 
@@ -386,10 +386,10 @@
   return control.node?.consensus?.core.term ?? 0;
 }
 
-const NETWORKS: Readonly<Record<string, number>> = { control: 1, agent: 2, backend: 3 };
+const SUBNETS: Readonly<Record<string, number>> = { control: 1, agent: 2, backend: 3 };
 
 /** Address of a process called `kind-number`. */
 function addressOf(name: string): SocketAddress {
   const [kind = '', number = '0'] = name.split('-');
-  return { host: `10.0.${NETWORKS[kind] ?? 0}.${number}`, port: PORT };
+  return { host: `10.0.${SUBNETS[kind] ?? 0}.${number}`, port: PORT };
 }
--- a/test/sim/fences-of-ended-back-ends.test.ts
+++ b/test/sim/fences-of-ended-back-ends.test.ts
@@ -1,6 +1,6 @@
 /**
- * The keys of a back end that has ended are to move. Its daemon raised their fence every 100 ms, each time by an entry of the
- * log, since a call that nobody listened to counted as one that may still be taken.
+ * Guards against repeated fences while keys move away from an ended back end: a call that was refused for lack of a listener
+ * counted as one that may still take effect, so the daemon raised the fence every 100 ms, each time by a log entry.
  */
 import test from 'ava';
 import type { FleetSpec } from '../../lab/sim/fleet/fleet-spec.js';
@@ -18,14 +18,14 @@
 
 const CALM_MS = 1_000;
 
-/** Time in which what was granted is renewed, and in which its daemon does not yet take a silent back end for gone, in ms. */
-const RENEWED_MS = 2_000;
+/** Time in ms in which grants are renewed and the daemon does not yet consider its silent back end ended. */
+const RENEWAL_MS = 2_000;
 const MOVING_MS = 3_000;
 
-/** Fences that may be raised for one range: the calls before its end, and one more. */
-const MOST_RAISED = 2;
+/** Fences that may be raised for one range: for the calls before the end, and one more. */
+const MAX_RAISED = 2;
 
-class RaisedFences implements EventLog {
+class RaisedFenceCounter implements EventLog {
   count = 0;
 
   event(name: string): void {
@@ -41,9 +41,9 @@
   }
 }
 
-test('calls to an address where nobody listens raise no fence again and again', async (t) => {
+test('calls to an address without a listener do not raise fences repeatedly', async (t) => {
   for (const seed of [1, 2, 3]) {
-    const raised = new RaisedFences();
+    const raised = new RaisedFenceCounter();
     const world = new FleetWorld(seed, SPEC, raised);
     await world.start();
     await world.runUntil(FLEET_READY_MS + CALM_MS);
@@ -56,9 +56,9 @@
       ?.find((known) => known.owner === owner);
     if (range === undefined) throw new Error('invariant broken: it owns nothing');
     machine.endBackend();
-    await world.runUntil(world.queue.nowMs + RENEWED_MS);
+    await world.runUntil(world.queue.nowMs + RENEWAL_MS);
     world.beginMove('keyed', range.from, range.to, lifeName(other.backend));
     await world.runUntil(world.queue.nowMs + MOVING_MS);
-    t.true(raised.count <= MOST_RAISED, `seed ${seed}: ${raised.count} raised`);
+    t.true(raised.count <= MAX_RAISED, `seed ${seed}: ${raised.count} raised`);
   }
 });
--- a/test/sim/key-troubles.test.ts
+++ b/test/sim/key-troubles.test.ts
@@ -1,25 +1,25 @@
 /**
- * Keys move while processes, replicas or all of them come back with older knowledge of who owns them, in drawn orders: no two
- * back ends hold the same keys, and fences rise with every change of hands.
+ * Keys move while processes, replicas or all of them restart or reconnect with outdated knowledge of the owners, in random
+ * order: no two back ends hold the same keys, and fences rise with every change of owner.
  */
 import test from 'ava';
 import type { FleetSpec } from '../../lab/sim/fleet/fleet-spec.js';
 import { FLEET_READY_MS, FleetWorld } from '../../lab/sim/fleet/fleet-world.js';
-import { KeyTroubles } from '../../lab/sim/fleet/key-troubles.js';
+import { KeyFaults } from '../../lab/sim/fleet/key-troubles.js';
 import { Random } from '../../lab/random.js';
 import type { GrantMode } from '../../src/directory/directory-state.js';
 
 const SERVICE = 'keyed';
-const PLAYS = 30;
+const SEEDS = 30;
 const KEYS = 65_536;
 const KEY_STEP = 7_919;
 
-/** Time with troubles, until nothing that was granted before can be held, and the calm stretch at the end, in ms. */
-const TROUBLED_MS = 10_000;
-const SETTLED_MS = 20_000;
-const CALM_MS = 3_000;
+/** Duration of the faults, time until all earlier grants have expired, and length of the measured period at the end, in ms. */
+const FAULTS_MS = 10_000;
+const EXPIRY_MS = 20_000;
+const MEASURED_MS = 3_000;
 
-const LEAST_SERVED = 0.9;
+const MIN_SERVED_SHARE = 0.9;
 
 function specOf(grantMode: GrantMode): FleetSpec {
   return {
@@ -46,19 +46,19 @@
 }
 
 for (const grantMode of ['invoke', 'heartbeat'] as const) {
-  for (let seed = 1; seed <= PLAYS; seed += 1) {
-    test(`keys have one owner beside whatever comes back with older knowledge: ${grantMode}, seed ${seed}`, async (t) => {
+  for (let seed = 1; seed <= SEEDS; seed += 1) {
+    test(`keys have one owner despite participants with outdated knowledge: ${grantMode}, seed ${seed}`, async (t) => {
       const world = new FleetWorld(seed, specOf(grantMode));
       await world.start();
-      const endMs = FLEET_READY_MS + TROUBLED_MS + SETTLED_MS;
+      const endMs = FLEET_READY_MS + FAULTS_MS + EXPIRY_MS;
       world.startTraffic(endMs);
-      const troubles = new KeyTroubles(world, SERVICE, new Random(seed));
-      troubles.start(FLEET_READY_MS + TROUBLED_MS);
+      const faults = new KeyFaults(world, SERVICE, new Random(seed));
+      faults.start(FLEET_READY_MS + FAULTS_MS);
       await world.runUntil(endMs);
-      const { brought } = troubles;
-      t.deepEqual(world.violations, [], brought.join(', '));
-      const share = world.servedShare('reads', endMs - CALM_MS, endMs - CALM_MS / 2);
-      t.true(share > LEAST_SERVED, `${share} served again; ${brought.join(', ')}`);
+      const { injected } = faults;
+      t.deepEqual(world.violations, [], injected.join(', '));
+      const share = world.servedShare('reads', endMs - MEASURED_MS, endMs - MEASURED_MS / 2);
+      t.true(share > MIN_SERVED_SHARE, `${share} served after the faults; ${injected.join(', ')}`);
     });
   }
 }
--- a/test/sim/simulation.test.ts
+++ b/test/sim/simulation.test.ts
@@ -21,7 +21,7 @@
   });
 }
 
-/** Seeds that once broke a promise, and why. */
+/** Seeds that once broke an invariant, and the cause. */
 const REGRESSIONS: readonly (readonly [string, number, string])[] = [
   ['leader-frozen', 910_080, 'agents went back to the frozen leader, which others still named'],
   ['leader-frozen', 910_120, 'as above'],
@@ -38,7 +38,7 @@
   });
 }
 
-test('the same seed gives the same trace, and another seed another', async (t) => {
+test('the same seed gives the same trace, and a different seed a different one', async (t) => {
   const traceOf = async (seed: number): Promise<string> => {
     const lines: string[] = [];
     await runSimulation({ scenario: scenario('everything'), seed, trace: (line) => void lines.push(line) });
@@ -49,7 +49,7 @@
   t.not(await traceOf(8), first);
 });
 
-test('a replay file brings the same run back', async (t) => {
+test('a replay file reproduces the run', async (t) => {
   const given = scenario('operators-race');
   const direct = await runSimulation({ scenario: given, seed: 5 });
   const text = writeReplay({ scenario: given.name, seed: 5, faults: direct.faults });
@@ -57,7 +57,7 @@
   t.deepEqual(await runSimulation({ scenario: given, seed: replay.seed, faults: replay.faults }), direct);
 });
 
-test('a replay file that makes no sense is an error, not an exception', (t) => {
+test('an invalid replay file is an error, not an exception', (t) => {
   for (const text of ['', '{', '{}', '{"scenario":"calm","seed":1,"faults":[{"kind":"earthquake"}]}']) {
     t.true(readReplay(text).err, text);
   }
--- a/test/sim/vote-is-durable.test.ts
+++ b/test/sim/vote-is-durable.test.ts
@@ -1,4 +1,7 @@
-/** A vote is on disk before it is told, and a disk that loses it lets a replica vote twice; the real driver on virtual time. */
+/**
+ * A vote is durable before it is sent; a disk that loses it lets a replica vote twice. Runs the real consensus driver on
+ * virtual time.
+ */
 import test from 'ava';
 import { Random } from '../../lab/random.js';
 import { EventQueue } from '../../lab/sim/event-queue.js';
@@ -15,7 +18,7 @@
 const TERM = 5;
 const SETTLED_MS = 100;
 
-/** One voter with its disk, over its lives. */
+/** One voter with its disk, across its incarnations. */
 class Voter {
   private readonly queue = new EventQueue();
   private readonly process = new SimProcess(NAME, this.queue, { startMs: 0, rate: 1, wallOffsetMs: 0 });
@@ -27,7 +30,7 @@
     this.disk = new SimDisk(NAME, () => '1', new Random(1), diskFaults(withoutGuard));
   }
 
-  /** Candidates that it has told that it votes for them. */
+  /** Candidates to which it has sent its vote. */
   get votes(): readonly string[] {
     return this.granted;
   }
@@ -37,7 +40,7 @@
     const store = this.disk.open(this.process);
     if (!store.formed) {
       const formed = store.form({ voters: VOTERS, learners: [] });
-      await this.pass(SETTLED_MS);
+      await this.advance(SETTLED_MS);
       await formed;
     }
     const runtime = {
@@ -61,13 +64,13 @@
     this.replica = new Replica(ID, runtime, store, state, ports, options);
   }
 
-  async ask(candidate: string): Promise<void> {
+  async requestVote(candidate: string): Promise<void> {
     const request = { kind: 'vote-request', from: candidate, to: ID, term: TERM, preVote: false } as const;
     this.replica?.submit({ kind: 'message', message: { ...request, lastIndex: 0, lastTerm: 0 } });
     await Promise.resolve();
   }
 
-  async pass(ms: number): Promise<void> {
+  async advance(ms: number): Promise<void> {
     const untilMs = this.queue.nowMs + ms;
     while (this.queue.runNext(untilMs)) await new Promise((resolve) => setImmediate(resolve));
   }
@@ -78,32 +81,32 @@
   }
 }
 
-async function votesOverTwoLives(withoutGuard: GuardName | null): Promise<readonly string[]> {
+async function votesAcrossRestart(withoutGuard: GuardName | null): Promise<readonly string[]> {
   const voter = new Voter(withoutGuard);
   await voter.start();
-  await voter.ask('one/1');
-  await voter.pass(SETTLED_MS);
+  await voter.requestVote('one/1');
+  await voter.advance(SETTLED_MS);
   voter.crash();
   await voter.start();
-  await voter.ask('two/1');
-  await voter.pass(SETTLED_MS);
+  await voter.requestVote('two/1');
+  await voter.advance(SETTLED_MS);
   return voter.votes;
 }
 
 test('a replica that restarts does not vote for another candidate of the same term', async (t) => {
-  t.deepEqual(await votesOverTwoLives(null), ['one/1']);
+  t.deepEqual(await votesAcrossRestart(null), ['one/1']);
 });
 
 test('guard vote-is-synced: a replica whose vote was lost votes twice in a term', async (t) => {
-  t.deepEqual(await votesOverTwoLives('vote-is-synced'), ['one/1', 'two/1']);
+  t.deepEqual(await votesAcrossRestart('vote-is-synced'), ['one/1', 'two/1']);
 });
 
-test('a vote that is not on disk yet is not told', async (t) => {
+test('a vote that is not yet on disk is not sent', async (t) => {
   const voter = new Voter(null);
   await voter.start();
-  await voter.ask('one/1');
+  await voter.requestVote('one/1');
   t.deepEqual(voter.votes, []);
   voter.crash();
-  await voter.pass(SETTLED_MS);
+  await voter.advance(SETTLED_MS);
   t.deepEqual(voter.votes, []);
 });
