--- a/lab/sim/fleet/fleet-callers.ts
+++ b/lab/sim/fleet/fleet-callers.ts
@@ -1,6 +1,6 @@
 /** Callers of a simulated fleet: they send requests to any machine and retry where the answer allows it. */
 import type { RouteDefinition } from '../../../src/directory/directory-state.js';
-import { answerGivenUp } from '../../../src/sidecar/caller-server.js';
+import { localAnswerFor } from '../../../src/sidecar/caller-server.js';
 import type { CallerSink } from '../../../src/sidecar/caller-request.js';
 import { DEFAULT_HEADER_DIALECT } from '../../../src/sidecar/header-dialect.js';
 import type { Random } from '../../random.js';
@@ -121,14 +121,14 @@
       },
       body: () => undefined,
       end: () => undefined,
-      breakOff: () => undefined,
-      giveUp: (outcome) => {
-        const response = answerGivenUp(outcome);
+      abort: () => undefined,
+      fail: (outcome) => {
+        const response = localAnswerFor(outcome);
         onAnswered(response.statusCode, response.retryAfterMs ?? 0);
       },
     };
     const key = traffic.key(number);
-    const result = machine.callers?.take(
+    const result = machine.callers?.handle(
       {
         method: traffic.method,
         path: traffic.path(number),
--- a/src/sidecar/work-forecast.ts
+++ b/src/sidecar/work-forecast.ts
@@ -6,17 +6,17 @@
 import type { LinkPacer } from '../link/link-pacer.js';
 import { policyIsOn } from '../policy-switches.js';
 import { BackendPace, clampPace } from './backend-pace.js';
-import { LinkOutlook } from './link-outlook.js';
+import { LinkWaitEstimator } from './link-wait-estimator.js';
 import {
-  comesTooLateForLink,
+  wouldMissTargetOnLink,
   lateReserve,
-  linkTimeMs,
-  placeRank,
+  plannedLinkTimeMs,
+  queueRank,
   SHORT_WORK_RANK,
   shortWorkReserve,
-  type PlaceClaim,
-} from './place-policy.js';
-import { RouteMeans } from './route-means.js';
+  type RequestTimeLimits,
+} from './slot-policy.js';
+import { RouteAverages } from './route-averages.js';
 
 /** Dependencies of a forecast. */
 export interface WorkForecastPorts {
@@ -45,12 +45,12 @@
   /** Number of reported paces that were not readable; these are ignored. */
   unreadablePaceReports = 0;
   /** Processing time in ms by route, normalized to the usual pace. */
-  private readonly workTimes = new RouteMeans();
-  private readonly answerBytes = new RouteMeans();
-  private readonly link: LinkOutlook<Owner>;
+  private readonly workTimes = new RouteAverages();
+  private readonly answerBytes = new RouteAverages();
+  private readonly link: LinkWaitEstimator<Owner>;
 
   constructor(private readonly ports: WorkForecastPorts) {
-    this.link = new LinkOutlook(ports.pacer);
+    this.link = new LinkWaitEstimator(ports.pacer);
   }
 
   /** Current processing time as a factor of the usual one. */
@@ -65,18 +65,18 @@
 
   /** Returns the expected processing time in ms of a request of the route. */
   workMs(route: string): number {
-    const nominalMs = this.workTimes.of(route, NaN);
+    const nominalMs = this.workTimes.averageOf(route, NaN);
     return Number.isNaN(nominalMs) ? this.ports.serviceMs() : nominalMs * this.currentPace;
   }
 
   /** Returns the expected time in ms for an answer of the route to pass the network link, including its queue. */
   sendMs(route: string, owner: Owner | null): number {
-    return this.link.sendMs(owner, this.answerBytes.of(route, 0), this.workMs(route));
+    return this.link.sendMs(owner, this.answerBytes.averageOf(route, 0), this.workMs(route));
   }
 
   /** Returns the time limits of a request, reduced by the time that its answer needs to pass the network link. */
-  claimOf(head: RequestHead, owner: Owner | null): PlaceClaim {
-    const sendMs = linkTimeMs(this.sendMs(head.route, owner));
+  claimOf(head: RequestHead, owner: Owner | null): RequestTimeLimits {
+    const sendMs = plannedLinkTimeMs(this.sendMs(head.route, owner));
     if (sendMs === 0) return head;
     const { patienceMs, spentMs } = head;
     const remainingMs = head.remainingMs - sendMs;
@@ -86,7 +86,7 @@
   /** Whether the queue of the network link would make a large answer miss its target if it were accepted now. */
   isTooLateForLink(head: RequestHead, owner: Owner): boolean {
     const claim = this.claimOf(head, owner);
-    return claim !== head && comesTooLateForLink(claim, this.link.waitMs, this.workMs(head.route));
+    return claim !== head && wouldMissTargetOnLink(claim, this.link.waitMs, this.workMs(head.route));
   }
 
   /** The same for a request that was accepted and has waited for its slot for `waitedMs`. */
@@ -95,21 +95,21 @@
     const claim = this.claimOf(head, owner);
     if (claim === head) return false;
     const present = { ...claim, targetLeftMs: claim.targetLeftMs - waitedMs };
-    return comesTooLateForLink(present, this.link.waitMsBeside(owner), this.workMs(head.route));
+    return wouldMissTargetOnLink(present, this.link.waitMsExcluding(owner), this.workMs(head.route));
   }
 
   /** Returns the queue priority of a request; short work goes first. */
   rankOf({ priority, route }: RequestHead): number {
     if (!policyIsOn('short-work-first')) return priority;
-    const meanMs = this.workTimes.of(route, this.ports.serviceMs());
-    return placeRank(priority, meanMs, this.workTimes.largest);
+    const meanMs = this.workTimes.averageOf(route, this.ports.serviceMs());
+    return queueRank(priority, meanMs, this.workTimes.largest);
   }
 
   /** Returns the number of slots to leave free for short work, if this back end has recently had any. */
   reserveOf(head: RequestHead): number {
     if (!policyIsOn('short-work-reserve') || this.rankOf(head) === SHORT_WORK_RANK) return 0;
     const { smallest, largest } = this.workTimes;
-    const hasShortWork = smallest > 0 && placeRank(head.priority, smallest, largest) === SHORT_WORK_RANK;
+    const hasShortWork = smallest > 0 && queueRank(head.priority, smallest, largest) === SHORT_WORK_RANK;
     return hasShortWork ? shortWorkReserve(this.ports.slots()) : 0;
   }
 
@@ -124,7 +124,7 @@
 
   /** Registers that an answer of the route will be sent for this owner. */
   expectAnswer(route: string, owner: Owner): void {
-    this.link.accept(owner, this.answerBytes.of(route, 0));
+    this.link.accept(owner, this.answerBytes.averageOf(route, 0));
   }
 
   /** Removes an expected answer that has reached the link, or will not be sent. */
@@ -135,8 +135,8 @@
   /** Updates the estimates with a received answer. */
   recordAnswer({ route, usedMs, bytes, pace }: AnswerSample): void {
     this.recordPace(pace);
-    this.workTimes.note(route, usedMs / this.currentPace);
-    this.answerBytes.note(route, bytes);
+    this.workTimes.record(route, usedMs / this.currentPace);
+    this.answerBytes.record(route, bytes);
   }
 
   private recordPace(reported: number | null): void {
