--- a/lab/sim/sim-operator.ts
+++ b/lab/sim/sim-operator.ts
@@ -106,7 +106,7 @@
 
   private async answer({ node }: SimReplica, call: Call): Promise<CallAnswer> {
     if (node === null) return { status: STATUS.firstServerError };
-    return await new OperatorCalls(node, CONTROL_PORT, new Set()).take(call);
+    return await new OperatorCalls(node, CONTROL_PORT, new Set()).handle(call);
   }
 
   private isAnswerLost({ status }: CallAnswer): boolean {
--- a/lab/sim/sim-router.ts
+++ b/lab/sim/sim-router.ts
@@ -8,7 +8,7 @@
   OWNER_RETRY_AFTER_MS,
   type AttemptFailure,
 } from '../../src/router/attempt-policy.js';
-import { refusal, type Refusal } from '../../src/router/refusal.js';
+import { createRefusal, type Refusal } from '../../src/router/refusal.js';
 import { selectOwner, type RoutingView, type Target } from '../../src/router/target-selection.js';
 import type { BackendAnswer, BackendRequest, SimBackend } from './sim-backend.js';
 import type { SimNetwork } from './sim-network.js';
@@ -67,13 +67,14 @@
   async handle(request: RoutedRequest): Promise<RoutedOutcome> {
     const deadlineMs = this.runtime.nowMs() + request.remainingMs;
     const service = this.table.services.get(request.service);
-    if (service === undefined) return endedWith(refusal('not-ready', 'no table yet', OWNER_RETRY_AFTER_MS));
+    if (service === undefined)
+      return endedWith(createRefusal('not-ready', 'no table yet', OWNER_RETRY_AFTER_MS));
     let waitedMs = 0;
     for (let attempts = 0; ;) {
       const target = selectOwner(this.view, request.service, service, request.key);
       if (typeof target === 'string') {
         if (waitedMs >= MAX_OWNER_WAIT_MS)
-          return endedWith(refusal(target, 'no owner', OWNER_RETRY_AFTER_MS));
+          return endedWith(createRefusal(target, 'no owner', OWNER_RETRY_AFTER_MS));
         waitedMs += await this.waitForUpdate(MAX_OWNER_WAIT_MS - waitedMs);
         continue;
       }
@@ -85,12 +86,12 @@
         bodyAvailable: true,
         attempts,
         remainingMs: deadlineMs - this.runtime.nowMs(),
-        takeRetry: () => true,
+        tryConsumeRetry: () => true,
       });
       if (decision.kind === 'end') return endedWith(decision.refusal);
-      waitedMs += await this.waitForUpdate(decision.pauseMs);
+      waitedMs += await this.waitForUpdate(decision.backoffMs);
       if (waitedMs >= MAX_OWNER_WAIT_MS)
-        return endedWith(refusal('no-owner', 'changing owner', OWNER_RETRY_AFTER_MS));
+        return endedWith(createRefusal('no-owner', 'changing owner', OWNER_RETRY_AFTER_MS));
     }
   }
 
--- a/src/control/control-node.ts
+++ b/src/control/control-node.ts
@@ -26,7 +26,7 @@
 import type { Hello } from '../transport/hello.js';
 import type { CommandOutcome, ControlCommand } from './commands.js';
 import type { ControlState } from './control-state.js';
-import { CrashDuties } from '../quarantine/crash-duties.js';
+import { CrashRecordMaintenance } from '../quarantine/crash-duties.js';
 import { DaemonGateway } from './daemon-gateway.js';
 import { LeaderDuties } from './leader-duties.js';
 import { LeaseTable } from './lease-table.js';
@@ -35,7 +35,7 @@
 import { parsePeerMessage } from './peer-messages.js';
 import { PeerNetwork, type PeerMessage } from './peer-network.js';
 import { Proposals, type ProposalError } from './proposals.js';
-import { spread, textHash } from '../model/text-hash.js';
+import { bucketOf, textHash } from '../model/text-hash.js';
 import { ReplicatedState } from './replicated-state.js';
 import type { ServiceLoads } from './state-snapshot.js';
 import { SessionService } from './session-service.js';
@@ -87,7 +87,7 @@
   private readonly proposals: Proposals;
   private readonly loads = new LoadTable();
   private readonly duties: LeaderDuties;
-  private readonly crashDuties: CrashDuties;
+  private readonly crashDuties: CrashRecordMaintenance;
   private readonly admission: MembershipAdmission;
   private readonly clockSkips: ClockSkips;
   private readonly listener: Listener;
@@ -127,7 +127,7 @@
       this.loads,
       () => runtime.nowMs(),
     );
-    this.crashDuties = new CrashDuties(
+    this.crashDuties = new CrashRecordMaintenance(
       () => this.state.crashRecords,
       (command) => void this.proposals.propose(command),
     );
@@ -307,7 +307,7 @@
       electionTimeoutMs: timing.electionTimeoutMs,
       // Gives each replica different election timeouts; the generator requires a signed integer.
       seed: textHash(this.id) | 0,
-      snapshotEveryEntries: snapshotEveryEntries + spread(this.id, Math.ceil(snapshotEveryEntries / 4)),
+      snapshotEveryEntries: snapshotEveryEntries + bucketOf(this.id, Math.ceil(snapshotEveryEntries / 4)),
     };
     const ports = this.replicaPorts();
     this.replica = new Replica(this.id, this.runtime, this.storage, this.replicated, ports, options);
@@ -368,10 +368,10 @@
     if (this.leadingTerm !== replica.core.term) this.startLeading(replica.core.term);
     this.sessions.expire();
     this.duties.run(this.runtime.nowMs());
-    this.crashDuties.run(this.runtime.nowMs());
+    this.crashDuties.proposeDueCommands(this.runtime.nowMs());
     const { electionTimeoutMs } = this.settings.timing;
     // After a suspension of this process all members seem inactive, although they may not be.
-    if (!this.clockSkips.lately(electionTimeoutMs))
+    if (!this.clockSkips.skippedWithin(electionTimeoutMs))
       this.admission.submitNextChange(replica, this.runtime.nowMs());
   }
 
--- a/src/directory/directory-node.ts
+++ b/src/directory/directory-node.ts
@@ -13,7 +13,7 @@
 import type { PeerMessage } from '../control/peer-network.js';
 import { Proposals, type ProposalError } from '../control/proposals.js';
 import { formatAddress } from '../model/socket-address.js';
-import { spread, textHash } from '../model/text-hash.js';
+import { bucketOf, textHash } from '../model/text-hash.js';
 import { Err, Ok, type Result } from '../result.js';
 import type { CancelTimer, Connection, Listener, PeerHandlers, Runtime } from '../runtime/runtime.js';
 import { ClockSkips } from '../runtime/clock-skips.js';
@@ -23,7 +23,7 @@
 import { ChangeFeed } from './change-feed.js';
 import type { DirectoryCommand, DirectoryOutcome } from './directory-commands.js';
 import { RangePlanningLoop } from './range-planning-loop.js';
-import { CrashDuties } from '../quarantine/crash-duties.js';
+import { CrashRecordMaintenance } from '../quarantine/crash-duties.js';
 import { DirectoryLeader } from './directory-leader.js';
 import { applyDirectoryCommand } from './directory-machine.js';
 import { directoryRequestSchema, readRelayMessage } from './directory-messages.js';
@@ -83,7 +83,7 @@
   private readonly changes: OperatorChanges;
   private readonly confirmations: LeadershipConfirmations;
   private readonly rangePlanning: RangePlanningLoop;
-  private readonly crashDuties: CrashDuties;
+  private readonly crashDuties: CrashRecordMaintenance;
   private readonly leader: DirectoryLeader;
   private readonly listener: Listener;
   private readonly dialer: ReplicaDialer;
@@ -124,7 +124,7 @@
         this.options.log.event('ranges-planned', { service, ...plan });
       },
     );
-    this.crashDuties = new CrashDuties(
+    this.crashDuties = new CrashRecordMaintenance(
       () => this.currentState.crashRecords,
       (command) => void this.proposals.propose(command),
     );
@@ -353,7 +353,7 @@
       // A seed per replica gives different election timeouts; the generator takes a signed integer.
       seed: textHash(this.id) | 0,
       snapshotEveryEntries:
-        timing.snapshotEveryEntries + spread(this.id, Math.ceil(timing.snapshotEveryEntries / 4)),
+        timing.snapshotEveryEntries + bucketOf(this.id, Math.ceil(timing.snapshotEveryEntries / 4)),
     };
     this.replica = new Replica(this.id, runtime, storage, this, this.replicaPorts(), options);
     this.reporter.recovered(this.replica);
@@ -417,11 +417,11 @@
     if (this.leadingTerm !== replica.core.term) this.startLeading(replica.core.term);
     const { electionTimeoutMs } = this.options.settings.timing;
     // After this process was suspended, all peers seem to have been silent; that does not mean that they are lost.
-    if (!this.clockSkips.lately(electionTimeoutMs)) this.membership.proposeNextMembership(replica);
+    if (!this.clockSkips.skippedWithin(electionTimeoutMs)) this.membership.proposeNextMembership(replica);
     if (!this.durable) return;
     this.leader.expireLeases();
     this.rangePlanning.run(this.options.runtime.nowMs());
-    this.crashDuties.run(this.options.runtime.nowMs());
+    this.crashDuties.proposeDueCommands(this.options.runtime.nowMs());
   }
 
   private startLeading(term: number): void {
--- a/src/sidecar/crash-watch.ts
+++ b/src/sidecar/crash-watch.ts
@@ -1,10 +1,10 @@
 /** Crash guard of a sidecar, based on its quarantine table, the directory and the state of the local back end. */
 import type { DirectoryNotice, DirectoryRequest } from '../directory/directory-messages.js';
-import { EndReporter, type EndedLife } from '../quarantine/end-reporter.js';
+import { CrashReporter, type VersionedIncarnation } from '../quarantine/end-reporter.js';
 import { InterruptedRuns, type InterruptedRun } from '../quarantine/interrupted-runs.js';
-import type { Judged, QuarantineView } from '../quarantine/quarantine-view.js';
+import type { RequestClassification, QuarantineView } from '../quarantine/quarantine-view.js';
 import type { IdentifiedRequest } from '../quarantine/request-fingerprint.js';
-import { saysOfRun } from '../quarantine/run-answer.js';
+import { runOutcomeOf } from '../quarantine/run-answer.js';
 import { RunPermits } from '../quarantine/run-permits.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { EventLog } from '../telemetry/event-log.js';
@@ -17,7 +17,7 @@
   readonly log: EventLog;
   readonly quarantine: QuarantineView;
   /** Returns the present incarnation of the back end; null while it is leaving or this daemon is stopping. */
-  readonly life: () => EndedLife | null;
+  readonly life: () => VersionedIncarnation | null;
   /** Checks whether a process listens at the back end's address. */
   readonly listens: () => Promise<boolean>;
   readonly send: (request: DirectoryRequest) => boolean;
@@ -31,12 +31,12 @@
 export class CrashWatch implements CrashGuard {
   readonly permits: SuspectPermits;
   private readonly runs = new InterruptedRuns();
-  private readonly reporter: EndReporter;
+  private readonly reporter: CrashReporter;
   private readonly runPermits: RunPermits;
 
   constructor(private readonly ports: CrashWatchPorts) {
     const { runtime, log, life, listens, send, onPermit } = ports;
-    this.reporter = new EndReporter({ runtime, log, interrupted: this.runs, life, listens, send });
+    this.reporter = new CrashReporter({ runtime, log, interrupted: this.runs, life, listens, send });
     const isPresent = (id: string): boolean => life()?.id === id;
     this.runPermits = new RunPermits({ runtime, send, isPresent, onPermit });
     this.permits = this.createPermits();
@@ -48,17 +48,17 @@
   }
 
   /** See `CrashGuard`. */
-  classify(request: IdentifiedRequest): Judged {
-    return this.ports.quarantine.judge(request, this.version);
+  classify(request: IdentifiedRequest): RequestClassification {
+    return this.ports.quarantine.classify(request, this.version);
   }
 
   /** See `CrashGuard`. */
   answered(request: IdentifiedRequest, statusCode: number): void {
-    this.runs.backendAnswered(this.ports.runtime.nowMs());
+    this.runs.handleAnswer(this.ports.runtime.nowMs());
     const { record, fingerprint } = this.classify(request);
-    const verdict = saysOfRun(statusCode);
+    const verdict = runOutcomeOf(statusCode);
     if (record === null || fingerprint === null || verdict === null) return;
-    this.runPermits.completed(fingerprint, this.version, verdict === 'good');
+    this.runPermits.reportCompletion(fingerprint, this.version, verdict === 'good');
   }
 
   /** See `CrashGuard`. */
@@ -68,24 +68,24 @@
 
   /** See `CrashGuard`. */
   interrupted(run: InterruptedRun): void {
-    this.runs.note(run);
+    this.runs.add(run);
   }
 
   /** See `CrashGuard`. */
   async checkBackendEnd(): Promise<void> {
     this.ports.onPossibleRestart();
-    await this.reporter.runBroke();
+    await this.reporter.handleInterruptedRun();
   }
 
   /** Called when a new incarnation of the back end has replaced one that had not announced that it leaves. */
-  incarnationReplaced(previous: EndedLife): void {
-    this.reporter.lifeReplaced(previous);
+  incarnationReplaced(previous: VersionedIncarnation): void {
+    this.reporter.handleNewIncarnation(previous);
   }
 
   /** Handles a notice from the directory. */
   receive(notice: DirectoryNotice): void {
-    if (notice.kind === 'end-recorded') this.reporter.receive(notice);
-    if (notice.kind === 'run-permitted') this.runPermits.receive(notice);
+    if (notice.kind === 'end-recorded') this.reporter.handleNotice(notice);
+    if (notice.kind === 'run-permitted') this.runPermits.handleNotice(notice);
   }
 
   /** Stops reporting. */
@@ -108,7 +108,7 @@
       },
       request: (fingerprint) => {
         const present = life();
-        if (present !== null) runPermits.ask(fingerprint, present);
+        if (present !== null) runPermits.requestPermit(fingerprint, present);
       },
       release: (fingerprint, begun) => {
         runPermits.release(fingerprint, begun);
--- a/src/sidecar/link-wait-estimator.ts
+++ b/src/sidecar/link-wait-estimator.ts
@@ -2,7 +2,7 @@
  * Estimates how long an answer would wait for the network link of this sidecar. Answers that are still being produced
  * count as well, since a back end produces large answers faster than a slow link carries them.
  */
-import { PACED_FRAME_BYTES, type LinkPacer } from '../link/link-pacer.js';
+import { MIN_PACED_FRAME_BYTES, type LinkPacer } from '../link/link-pacer.js';
 import { policyIsOn } from '../policy-switches.js';
 
 /** The part of a link pacer that the estimate uses. */
@@ -29,7 +29,7 @@
 
   /** Adds an expected answer of about `bytes`. */
   accept(owner: Owner, bytes: number): void {
-    if (this.queue === null || bytes < PACED_FRAME_BYTES || !policyIsOn('expected-answers')) return;
+    if (this.queue === null || bytes < MIN_PACED_FRAME_BYTES || !policyIsOn('expected-answers')) return;
     this.forget(owner);
     const sendingMs = this.queue.sendingMs(bytes);
     this.expectedByOwner.set(owner, sendingMs);
@@ -48,7 +48,7 @@
    * that are not paced. The queue ahead of it drains during the work, which takes `workMs`.
    */
   sendMs(owner: Owner | null, bytes: number, workMs: number): number {
-    if (this.queue === null || bytes < PACED_FRAME_BYTES) return 0;
+    if (this.queue === null || bytes < MIN_PACED_FRAME_BYTES) return 0;
     const aheadMs = this.queue.backlogMs + this.expectedMs - this.expectedMsOf(owner);
     const drainedMs = policyIsOn('expected-answers') ? workMs : 0;
     return Math.max(0, aheadMs - drainedMs) + this.queue.sendingMs(bytes);
--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -4,7 +4,7 @@
  */
 import type { BackendInstance } from '../directory/directory-state.js';
 import { LinkPacer } from '../link/link-pacer.js';
-import { lifeName, type BackendLife } from '../model/backend-life.js';
+import { incarnationName, type BackendIncarnation } from '../model/backend-life.js';
 import { formatAddress } from '../model/socket-address.js';
 import { Ok, type Result } from '../result.js';
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
@@ -24,7 +24,7 @@
 import { CrashWatch } from './crash-watch.js';
 import { DirectoryClient } from './directory-client.js';
 import { DirectoryTable } from './directory-table.js';
-import type { EndedLife } from '../quarantine/end-reporter.js';
+import type { VersionedIncarnation } from '../quarantine/end-reporter.js';
 import { KeyOwnership } from './key-ownership.js';
 import { LeaseKeeper } from './lease-keeper.js';
 import { LoadMeter } from './load-meter.js';
@@ -237,7 +237,7 @@
    * Processes the final message of an incarnation that leaves and sends no more heartbeats. It is binding even if
    * that incarnation is unknown here.
    */
-  async leave(reported: BackendLife): Promise<void> {
+  async leave(reported: BackendIncarnation): Promise<void> {
     await this.presence.leave(reported);
     this.gateway.reevaluateWaiting();
   }
@@ -388,11 +388,11 @@
   }
 
   /** The back end's incarnation; null while it is leaving or this daemon is stopping. */
-  private currentIncarnation(): EndedLife | null {
+  private currentIncarnation(): VersionedIncarnation | null {
     const { heartbeat } = this.backend;
     if (heartbeat === null || this.backend.leaving || this.stoppingSinceMs !== null) return null;
     const { service, version } = heartbeat;
-    return { id: lifeName(heartbeat), service, version };
+    return { id: incarnationName(heartbeat), service, version };
   }
 
   private makeChooser(): BackendChooser {
