--- a/test/agent/late-calls.test.ts
+++ b/test/agent/late-calls.test.ts
@@ -6,7 +6,7 @@
 import test from 'ava';
 import { Random } from '../../lab/random.js';
 import { EventQueue } from '../../lab/sim/event-queue.js';
-import { makeGrantTable, SimBackend } from '../../lab/sim/sim-backend.js';
+import { createGrantTable, SimBackend } from '../../lab/sim/sim-backend.js';
 import { SimProcess } from '../../lab/sim/sim-process.js';
 
 const CALL_DELAY_MS = 3_000;
@@ -29,21 +29,21 @@
     'service',
     machine,
     new Random(1),
-    makeGrantTable,
+    createGrantTable,
     () => undefined,
   );
   backend.start();
   agent.start();
-  const port = backend.portFor(agent, 'agent-1');
+  const port = backend.createPort(agent, 'agent-1');
   const runUntil = async (untilMs: number): Promise<void> => {
     while (queue.runNext(untilMs)) await new Promise((resolve) => setImmediate(resolve));
   };
   const firstHolder = port.takeHolder();
   await runUntil(100);
   t.true((await firstHolder).ok);
-  backend.heldUpMs = CALL_DELAY_MS;
+  backend.callDelayMs = CALL_DELAY_MS;
   const late = port.addGrants(DEADLINE_MS, [grantOf(7, 3)]);
-  backend.heldUpMs = 0;
+  backend.callDelayMs = 0;
   await runUntil(1_000);
   t.true((await late).err, 'the call got no answer');
   const secondHolder = port.takeHolder();
