--- a/test/incidents/acknowledged-leave.test.ts
+++ b/test/incidents/acknowledged-leave.test.ts
@@ -1,16 +1,14 @@
 /**
- * A back end said that it leaves, the daemon beside it acknowledged that, and 2,410 ms later the same daemon sent it a
- * request (bound: 2,000 ms). What a daemon acknowledges was kept in the memory of its process only, and an acknowledgement
- * was given whatever had been made of the call. So a daemon that was started anew counted its time from the next heartbeat
- * that it heard, or knew nothing of the leave at all, and the daemons elsewhere went on sending.
- *
- * What settled it: the time of the last request in the record, and beside the real daemon when it is killed 300 ms after
- * the acknowledgement (pauses of heartbeats of 500 ms in the second):
+ * Guards against requests that reach a back end later than the bound of 2,000 ms after its leave was acknowledged. A daemon
+ * kept acknowledgements in process memory only, and acknowledged a leave whatever it had made of the call. After a restart
+ * it counted the time from the next heartbeat it received, or did not know of the leave at all, and other daemons kept
+ * sending. One request arrived 2,410 ms after the acknowledgement. With the real daemon killed 300 ms after the
+ * acknowledgement (heartbeats 500 ms apart), 26 requests were beyond the bound, the last one at 2,493 ms:
  *   24.959 s  i-c0abdcb95e (...) is leaving: acked by sidecar-kacyiru-3
  *   27.369 s  reaches server i-c0abdcb95e (...) from sidecar-kacyiru-3
- *   26 requests beyond the bound, the last one 2,493 ms after the acknowledgement
- * A back end that started again under the name that it had was never served again, while each of its heartbeats was
- * acknowledged: its counts began anew and were taken for late ones.
+ *
+ * Also guards against a back end that restarts under the same id and is never served, although each of its heartbeats is
+ * acknowledged: its sequence numbers began again, so the daemon took them for delayed heartbeats.
  */
 import test from 'ava';
 import { Random } from '../../lab/random.js';
@@ -19,10 +17,10 @@
 import { FLEET_READY_MS, FleetWorld } from '../../lab/sim/fleet/fleet-world.js';
 
 const SEEDS = [1, 2, 3];
-const PLAYED_MS = 12_000;
-const UNTIL_MS = FLEET_READY_MS + PLAYED_MS;
+const TRAFFIC_MS = 12_000;
+const END_MS = FLEET_READY_MS + TRAFFIC_MS;
 
-/** Nobody can choose another back end than the one that leaves. */
+/** The leaving back end is the only one of its service, so that no daemon can choose another. */
 const SPEC: FleetSpec = {
   services: [
     { name: 'plain', keyed: false, backends: 1, grantMode: 'heartbeat' },
@@ -50,12 +48,12 @@
 
 type Step = (machine: FleetMachine, world: FleetWorld) => void | Promise<void>;
 
-/** What happens, at times in ms after traffic has begun. */
-interface Order {
+/** A sequence of steps, at times in ms after the start of traffic. */
+interface Scenario {
   readonly name: string;
   readonly sameId?: boolean;
   readonly steps: readonly (readonly [number, Step])[];
-  /** Whether a life of the back end must be served at the end. */
+  /** Whether an incarnation of the back end must receive requests at the end. */
   readonly servedAtEnd: boolean;
 }
 
@@ -74,25 +72,25 @@
 const endBackend: Step = (machine) => {
   machine.endBackend();
 };
-const reborn: Step = (machine) => {
+const restartBackend: Step = (machine) => {
   machine.restartBackend();
 };
-const cutOff: Step = (machine, world) => {
+const cutFromDirectory: Step = (machine, world) => {
   world.cutFromDirectory(machine);
 };
 const heal: Step = (_, world) => {
   world.heal();
 };
 
-/** The next heartbeat comes so many ms after it was sent. */
-function late(ms: number): Step {
+/** Delays the next heartbeat by `ms`. */
+function delayHeartbeat(ms: number): Step {
   return (machine) => {
     machine.delayNextHeartbeat(ms);
   };
 }
 
-/** The goodbye of the present life comes so many ms late. */
-function lateGoodbye(ms: number): Step {
+/** Sends the goodbye of the current incarnation `ms` late. */
+function delayGoodbye(ms: number): Step {
   return (machine, { queue }) => {
     const { backend } = machine;
     if (backend === null) return;
@@ -102,7 +100,7 @@
   };
 }
 
-const ORDERS: readonly Order[] = [
+const SCENARIOS: readonly Scenario[] = [
   { name: 'a leave alone', steps: [[2_000, leave]], servedAtEnd: false },
   { name: 'a goodbye alone', steps: [[2_000, goodbye]], servedAtEnd: false },
   {
@@ -126,9 +124,9 @@
     servedAtEnd: false,
   },
   {
-    name: 'a leave that the directory cannot be told, and its daemon is killed',
+    name: 'a leave that cannot be reported to the directory, and its daemon is killed',
     steps: [
-      [1_900, cutOff],
+      [1_900, cutFromDirectory],
       [2_000, leave],
       [2_300, killDaemon],
       [2_310, startDaemon],
@@ -146,9 +144,9 @@
     servedAtEnd: false,
   },
   {
-    name: 'a goodbye, its daemon is killed, and a heartbeat from before comes late',
+    name: 'a goodbye, its daemon is killed, and an earlier heartbeat arrives late',
     steps: [
-      [1_400, late(1_800)],
+      [1_400, delayHeartbeat(1_800)],
       [2_000, goodbye],
       [2_300, killDaemon],
       [2_310, startDaemon],
@@ -156,10 +154,10 @@
     servedAtEnd: false,
   },
   {
-    name: 'a goodbye that the directory cannot be told, its daemon is killed, and a heartbeat from before comes late',
+    name: 'a goodbye that cannot be reported to the directory, its daemon is killed, and an earlier heartbeat arrives late',
     steps: [
-      [1_400, late(1_800)],
-      [1_900, cutOff],
+      [1_400, delayHeartbeat(1_800)],
+      [1_900, cutFromDirectory],
       [2_000, goodbye],
       [2_300, killDaemon],
       [2_310, startDaemon],
@@ -168,19 +166,19 @@
     servedAtEnd: false,
   },
   {
-    name: 'a goodbye to a daemon that has not heard of the life yet, and a heartbeat from before comes late',
+    name: 'a goodbye to a daemon that does not know the incarnation yet, and an earlier heartbeat arrives late',
     steps: [
       [1_900, killDaemon],
-      [1_910, late(1_000)],
+      [1_910, delayHeartbeat(1_000)],
       [2_380, startDaemon],
       [2_400, goodbye],
     ],
     servedAtEnd: false,
   },
   {
-    name: 'a leave, its daemon is killed, and a heartbeat from before comes first',
+    name: 'a leave, its daemon is killed, and an earlier heartbeat arrives first',
     steps: [
-      [1_400, late(1_150)],
+      [1_400, delayHeartbeat(1_150)],
       [2_000, leave],
       [2_300, killDaemon],
       [2_310, startDaemon],
@@ -188,7 +186,7 @@
     servedAtEnd: false,
   },
   {
-    name: 'a daemon that is killed while its back end stays serves it again',
+    name: 'a daemon that is killed and restarted beside a running back end serves it again',
     steps: [
       [2_000, killDaemon],
       [2_100, startDaemon],
@@ -196,19 +194,19 @@
     servedAtEnd: true,
   },
   {
-    name: 'a back end that ended and is back under its id is served again',
+    name: 'a back end that ended and restarted under its id is served again',
     sameId: true,
     steps: [[2_000, endBackend]],
     servedAtEnd: true,
   },
   {
-    name: 'a back end that starts again at once under its id is served again',
+    name: 'a back end that restarts immediately under its id is served again',
     sameId: true,
-    steps: [[2_000, reborn]],
+    steps: [[2_000, restartBackend]],
     servedAtEnd: true,
   },
   {
-    name: 'a back end that said that it leaves is served again when it is back under its id',
+    name: 'a back end that announced its leave is served again after a restart under its id',
     sameId: true,
     steps: [
       [2_000, leave],
@@ -217,7 +215,7 @@
     servedAtEnd: true,
   },
   {
-    name: 'a back end that said goodbye is served again when it is back under its id',
+    name: 'a back end that said goodbye is served again after a restart under its id',
     sameId: true,
     steps: [
       [2_000, goodbye],
@@ -226,56 +224,56 @@
     servedAtEnd: true,
   },
   {
-    name: 'the leave of an earlier life that comes late is not taken for one of the life under the same id',
+    name: 'a late leave of an earlier incarnation is not applied to the one under the same id',
     sameId: true,
     steps: [
-      [2_000, late(3_000)],
+      [2_000, delayHeartbeat(3_000)],
       [2_001, leave],
-      [2_300, reborn],
+      [2_300, restartBackend],
     ],
     servedAtEnd: true,
   },
   {
-    name: 'the goodbye of an earlier life that comes late changes nothing for the life under the same id',
+    name: 'a late goodbye of an earlier incarnation does not affect the one under the same id',
     sameId: true,
     steps: [
-      [2_000, lateGoodbye(3_000)],
-      [2_300, reborn],
+      [2_000, delayGoodbye(3_000)],
+      [2_300, restartBackend],
     ],
     servedAtEnd: true,
   },
   {
-    name: 'an earlier life that its daemon never heard of says late that it is ready',
+    name: 'a late ready heartbeat arrives from an earlier incarnation that the daemon never knew',
     sameId: true,
     steps: [
       [1_900, killDaemon],
-      [1_910, late(2_500)],
-      [2_300, reborn],
+      [1_910, delayHeartbeat(2_500)],
+      [2_300, restartBackend],
       [2_400, startDaemon],
     ],
     servedAtEnd: true,
   },
 ];
 
-/** Number of orders drawn at random, and steps of each; the daemon is up and reaches the directory at the end. */
-const DRAWN_ORDERS = 60;
-const DRAWN_STEPS = 6;
+/** Number of random sequences, and steps of each; at the end the daemon is up and reaches the directory. */
+const RANDOM_SCENARIOS = 60;
+const STEPS_PER_RANDOM_SCENARIO = 6;
 
-/** When drawn steps come, in ms, and when the end is made good. */
+/** Times of the random steps, in ms, and of the final recovery step. */
 const FIRST_STEP_MS = 1_000;
-const STEPS_FOR_MS = 4_500;
-const MADE_GOOD_MS = 6_500;
+const STEPS_SPAN_MS = 4_500;
+const RECOVERY_MS = 6_500;
 
-/** Steps that may follow each other in any order; whatever they leave undone is made good at the end. */
-const DRAWN: readonly Step[] = [
+/** Steps that may follow each other in any order; the final recovery step heals cuts and restarts the daemon. */
+const RANDOM_STEPS: readonly Step[] = [
   leave,
   goodbye,
-  reborn,
-  cutOff,
+  restartBackend,
+  cutFromDirectory,
   heal,
-  late(700),
-  late(1_600),
-  lateGoodbye(900),
+  delayHeartbeat(700),
+  delayHeartbeat(1_600),
+  delayGoodbye(900),
   killDaemon,
   endBackend,
   async (machine) => {
@@ -284,90 +282,93 @@
   },
 ];
 
-const makeGood: Step = async (machine, world) => {
+const recover: Step = async (machine, world) => {
   world.heal();
   if (!machine.process.alive) await machine.start();
 };
 
-function drawOrder(seed: number): Order {
+function randomScenario(seed: number): Scenario {
   const random = new Random(seed);
-  const times = Array.from({ length: DRAWN_STEPS }, () => FIRST_STEP_MS + random.below(STEPS_FOR_MS));
+  const times = Array.from(
+    { length: STEPS_PER_RANDOM_SCENARIO },
+    () => FIRST_STEP_MS + random.below(STEPS_SPAN_MS),
+  );
   times.sort((left, right) => left - right);
-  const steps = times.map((atMs): readonly [number, Step] => [atMs, random.pick(DRAWN)]);
-  const name = `drawn ${seed}`;
+  const steps = times.map((atMs): readonly [number, Step] => [atMs, random.pick(RANDOM_STEPS)]);
+  const name = `random ${seed}`;
   return {
     name,
     sameId: random.below(2) === 0,
-    steps: [...steps, [MADE_GOOD_MS, makeGood]],
+    steps: [...steps, [RECOVERY_MS, recover]],
     servedAtEnd: false,
   };
 }
 
-/** Whether the life that is there at the end has said nothing of a leave. */
-function stays({ backend }: FleetMachine): boolean {
+/** Whether the incarnation at the end has announced neither a leave nor a goodbye. */
+function remainsInService({ backend }: FleetMachine): boolean {
   return backend !== null && !backend.draining && !backend.saidGoodbye;
 }
 
-async function play(seed: number, { sameId, steps }: Order): Promise<FleetWorld> {
+async function runScenario(seed: number, { sameId, steps }: Scenario): Promise<FleetWorld> {
   const world = new FleetWorld(seed, SPEC);
   const [machine] = world.machines;
   if (machine === undefined) throw new Error('invariant broken: no machine');
   machine.sameId = sameId === true;
   await world.start();
-  world.startTraffic(UNTIL_MS);
+  world.startTraffic(END_MS);
   for (const [afterMs, step] of steps) {
     await world.runUntil(FLEET_READY_MS + afterMs);
     await step(machine, world);
   }
-  await world.runUntil(UNTIL_MS);
+  await world.runUntil(END_MS);
   return world;
 }
 
-for (const order of ORDERS) {
-  test(`acknowledged leaves: ${order.name}`, async (t) => {
+for (const scenario of SCENARIOS) {
+  test(`acknowledged leaves: ${scenario.name}`, async (t) => {
     for (const seed of SEEDS) {
-      const world = await play(seed, order);
-      const broken = world.violations.map(({ promise, detail }) => `${promise}: ${detail}`);
-      t.deepEqual(broken.slice(-1), [], `seed ${seed}: ${broken.length} broken`);
-      if (!order.servedAtEnd) continue;
-      const share = world.servedShare('reads', UNTIL_MS - 3_000, UNTIL_MS - 500);
+      const world = await runScenario(seed, scenario);
+      const violations = world.violations.map(({ promise, detail }) => `${promise}: ${detail}`);
+      t.deepEqual(violations.slice(-1), [], `seed ${seed}: ${violations.length} violations`);
+      if (!scenario.servedAtEnd) continue;
+      const share = world.servedShare('reads', END_MS - 3_000, END_MS - 500);
       t.true(share > 0.95, `seed ${seed}: ${share} served at the end`);
     }
   });
 }
 
-for (let seed = 1; seed <= DRAWN_ORDERS; seed += 1) {
+for (let seed = 1; seed <= RANDOM_SCENARIOS; seed += 1) {
   test(`acknowledged leaves: steps in any order, ${seed}`, async (t) => {
-    const world = await play(seed, drawOrder(seed));
-    const broken = world.violations.map(({ promise, detail }) => `${promise}: ${detail}`);
-    t.deepEqual(broken.slice(-1), [], `${broken.length} broken`);
+    const world = await runScenario(seed, randomScenario(seed));
+    const violations = world.violations.map(({ promise, detail }) => `${promise}: ${detail}`);
+    t.deepEqual(violations.slice(-1), [], `${violations.length} violations`);
     const [machine] = world.machines;
-    if (machine === undefined || !stays(machine)) return;
-    const share = world.servedShare('reads', UNTIL_MS - 2_500, UNTIL_MS - 500);
+    if (machine === undefined || !remainsInService(machine)) return;
+    const share = world.servedShare('reads', END_MS - 2_500, END_MS - 500);
     t.true(share > 0.95, `${share} served at the end`);
   });
 }
 
-/** After a loss of power back ends are back a little before their daemons; times in ms after traffic has begun. */
-const POWER_LOST_MS = 2_000;
-const DAEMON_BACK_MS = 3_100;
-const FIRST_WORD_MS = 3_500;
-const SECOND_WORD_MS = 4_000;
+/** After a power loss back ends restart slightly before their daemons; times in ms after the start of traffic. */
+const POWER_LOSS_MS = 2_000;
+const DAEMON_RESTART_MS = 3_100;
+const FIRST_HEARTBEAT_MS = 3_500;
+const SECOND_HEARTBEAT_MS = 4_000;
 
-test('a life that told a daemon that was away is served on the first heartbeat that arrives', async (t) => {
+test('an incarnation whose first heartbeats found no daemon is served from the first one that arrives', async (t) => {
   for (const seed of SEEDS) {
     const world = new FleetWorld(seed, SPEC);
     const [machine] = world.machines;
     if (machine === undefined) throw new Error('invariant broken: no machine');
     await world.start();
-    world.startTraffic(UNTIL_MS);
-    await world.runUntil(FLEET_READY_MS + POWER_LOST_MS);
+    world.startTraffic(END_MS);
+    await world.runUntil(FLEET_READY_MS + POWER_LOSS_MS);
     machine.crash();
     machine.restartBackend();
-    await world.runUntil(FLEET_READY_MS + DAEMON_BACK_MS);
+    await world.runUntil(FLEET_READY_MS + DAEMON_RESTART_MS);
     await machine.start();
-    await world.runUntil(FLEET_READY_MS + SECOND_WORD_MS);
-    const runs = world.runsSince('reads', FLEET_READY_MS + FIRST_WORD_MS);
-    t.true(runs.length > 0, `seed ${seed}: nothing ran before the second heartbeat`);
+    await world.runUntil(FLEET_READY_MS + SECOND_HEARTBEAT_MS);
+    const runs = world.runsSince('reads', FLEET_READY_MS + FIRST_HEARTBEAT_MS);
+    t.true(runs.length > 0, `seed ${seed}: no request ran before the second heartbeat`);
   }
 });
--- a/test/incidents/change-in-time.test.ts
+++ b/test/incidents/change-in-time.test.ts
@@ -1,12 +1,12 @@
 /**
- * A valid change of the configuration, sent in calm time, had no acknowledgement within the bound of 4 s. No line of a
- * daemon was kept and no play brought it about again; in calm the longest time until an acknowledgement was 1,370 ms. Two
- * things were found that cost an operator the calm, or the order itself, and are tested here.
+ * Guards against a valid change of the configuration that is not acknowledged within the bound of 4 s although nothing is
+ * disturbed. No log of that failure was kept, and it was not reproduced: without faults the longest time until an
+ * acknowledgement was 1,370 ms. Two possible causes are tested:
  *
- * A replica whose disk stalls goes on taking changes and reads as the leader that it was: it judged itself by its role,
- * not by whether it can commit anything, and held each call for 5 s, longer than the bound, while another replica led.
- * And a change whose acknowledgement was lost was refused for good when it was sent again after a later change had dropped
- * what it names, although it had been taken.
+ * - A replica whose disk stalls keeps accepting changes and reads as leader. It judged its leadership by its role rather
+ *   than by whether it can commit, and held each call for 5 s, longer than the bound, while another replica led.
+ * - A change whose acknowledgement was lost was rejected permanently when it was repeated after a later change had removed
+ *   what it names, although it had been committed.
  */
 import test from 'ava';
 import { DirectoryWorld } from '../../lab/sim/directory-world.js';
@@ -17,32 +17,32 @@
 const READY_MS = 4_000;
 const STALL_MS = 6_000;
 
-/** Time in ms after which an operator gives a call up, and in which a call that cannot be served is told so. */
-const PATIENCE_MS = 1_000;
-const AT_ONCE_MS = 50;
+/** Timeout in ms of an operator's call, and time within which a call that cannot be served is rejected. */
+const CALL_TIMEOUT_MS = 1_000;
+const REJECTION_MS = 50;
 
-/** When another replica leads, after the stall has begun. */
+/** Time in ms after the start of the stall by which another replica leads. */
 const ELECTED_AFTER_MS = 2_500;
 
 const UNAVAILABLE = 503;
 const OK = 200;
 const CONTROL_PORT = 8_306;
 
-interface Answered {
+interface CallResult {
   status: number | null;
   ms: number;
 }
 
-function ask(world: DirectoryWorld, { node }: SimReplica, method: string, body: string): Answered {
-  const answered: Answered = { status: null, ms: Infinity };
+function sendCall(world: DirectoryWorld, { node }: SimReplica, method: string, body: string): CallResult {
+  const result: CallResult = { status: null, ms: Infinity };
   const sentMs = world.queue.nowMs;
-  if (node === null) return answered;
+  if (node === null) return result;
   const calls = new OperatorCalls(node, CONTROL_PORT, new Set());
   void calls.take({ method, path: '/config', headers: {}, body }).then(({ status }) => {
-    answered.status = status;
-    answered.ms = world.queue.nowMs - sentMs;
+    result.status = status;
+    result.ms = world.queue.nowMs - sentMs;
   });
-  return answered;
+  return result;
 }
 
 function serviceChange(name: string, version: number): string {
@@ -58,14 +58,14 @@
   return JSON.stringify({ upsert: { services: { [name]: service } }, remove: {} });
 }
 
-/** A world whose leader's disk stalls from now on. */
+/** Creates a world whose leader's disk has begun to stall. */
 async function withStalledLeader(seed: number): Promise<{ world: DirectoryWorld; leader: SimReplica }> {
   const world = new DirectoryWorld(seed);
   await world.start();
   await world.runUntil(READY_MS);
-  const first = ask(world, leaderOf(world), 'PATCH', serviceChange('first', 1));
-  await world.runUntil(READY_MS + PATIENCE_MS);
-  if (first.status !== OK) throw new Error('invariant broken: no change is taken in calm');
+  const first = sendCall(world, leaderOf(world), 'PATCH', serviceChange('first', 1));
+  await world.runUntil(READY_MS + CALL_TIMEOUT_MS);
+  if (first.status !== OK) throw new Error('invariant broken: no change is accepted without a fault');
   const leader = leaderOf(world);
   leader.disk.stallFor(STALL_MS);
   return { world, leader };
@@ -73,45 +73,45 @@
 
 function leaderOf(world: DirectoryWorld): SimReplica {
   const leader = world.directory.leadingReplica();
-  if (leader === null) throw new Error('invariant broken: nobody leads');
+  if (leader === null) throw new Error('invariant broken: no replica leads');
   return leader;
 }
 
-test('changes in time: a leader whose disk stalls lets go of a change before its operator gives it up', async (t) => {
+test('changes in time: a leader whose disk stalls fails a change before the operator times out', async (t) => {
   for (const seed of SEEDS) {
     const { world, leader } = await withStalledLeader(seed);
-    const change = ask(world, leader, 'PATCH', serviceChange('second', 2));
-    await world.runUntil(world.queue.nowMs + PATIENCE_MS);
+    const change = sendCall(world, leader, 'PATCH', serviceChange('second', 2));
+    await world.runUntil(world.queue.nowMs + CALL_TIMEOUT_MS);
     t.is(change.status, UNAVAILABLE, `seed ${seed}`);
   }
 });
 
-test('changes in time: a leader whose disk stalls turns away at once what comes later, changes and reads', async (t) => {
+test('changes in time: a leader whose disk stalls immediately rejects later changes and reads', async (t) => {
   for (const seed of SEEDS) {
     const { world, leader } = await withStalledLeader(seed);
-    ask(world, leader, 'PATCH', serviceChange('second', 2));
+    sendCall(world, leader, 'PATCH', serviceChange('second', 2));
     await world.runUntil(world.queue.nowMs + ELECTED_AFTER_MS);
-    const change = ask(world, leader, 'PATCH', serviceChange('second', 2));
-    const read = ask(world, leader, 'GET', '');
-    await world.runUntil(world.queue.nowMs + AT_ONCE_MS);
+    const change = sendCall(world, leader, 'PATCH', serviceChange('second', 2));
+    const read = sendCall(world, leader, 'GET', '');
+    await world.runUntil(world.queue.nowMs + REJECTION_MS);
     t.is(change.status, UNAVAILABLE, `seed ${seed}: change`);
     t.is(read.status, UNAVAILABLE, `seed ${seed}: read`);
   }
 });
 
-test('changes in time: what a stalled leader let go of is taken by the next one, and told as taken when it is sent again', async (t) => {
+test('changes in time: a change that a stalled leader failed is accepted by the next one, and acknowledged when it is repeated', async (t) => {
   for (const seed of SEEDS) {
     const { world, leader } = await withStalledLeader(seed);
-    ask(world, leader, 'PATCH', serviceChange('second', 2));
+    sendCall(world, leader, 'PATCH', serviceChange('second', 2));
     await world.runUntil(world.queue.nowMs + ELECTED_AFTER_MS);
     const next = leaderOf(world);
     t.not(next, leader, `seed ${seed}: another replica leads`);
-    const again = ask(world, next, 'PATCH', serviceChange('second', 2));
-    await world.runUntil(world.queue.nowMs + PATIENCE_MS);
+    const again = sendCall(world, next, 'PATCH', serviceChange('second', 2));
+    await world.runUntil(world.queue.nowMs + CALL_TIMEOUT_MS);
     t.is(again.status, OK, `seed ${seed}`);
     await world.runUntil(world.queue.nowMs + STALL_MS);
-    const later = ask(world, leaderOf(world), 'PATCH', serviceChange('second', 2));
-    await world.runUntil(world.queue.nowMs + PATIENCE_MS);
+    const later = sendCall(world, leaderOf(world), 'PATCH', serviceChange('second', 2));
+    await world.runUntil(world.queue.nowMs + CALL_TIMEOUT_MS);
     t.is(later.status, OK, `seed ${seed}: sent again after the stall`);
   }
 });
@@ -126,7 +126,7 @@
   max_attempts: 2,
 };
 
-test('changes in time: a change that was taken is told as taken again when later ones have dropped what it names', async (t) => {
+test('changes in time: an accepted change is acknowledged again after later changes removed what it names', async (t) => {
   const world = new DirectoryWorld(1);
   await world.start();
   await world.runUntil(READY_MS);
@@ -138,10 +138,10 @@
     upsert: { routes: { r: { ...ROUTE, service: 'new', version: 6 } } },
     remove: { services: [{ name: 'old', version: 6 }] },
   });
-  const orders = [serviceChange('old', 1), serviceChange('new', 2), adds, drops, adds];
-  for (const [at, order] of orders.entries()) {
-    const answered = ask(world, leaderOf(world), 'PATCH', order);
-    await world.runUntil(world.queue.nowMs + PATIENCE_MS);
-    t.is(answered.status, OK, `order ${at}`);
+  const changes = [serviceChange('old', 1), serviceChange('new', 2), adds, drops, adds];
+  for (const [at, change] of changes.entries()) {
+    const result = sendCall(world, leaderOf(world), 'PATCH', change);
+    await world.runUntil(world.queue.nowMs + CALL_TIMEOUT_MS);
+    t.is(result.status, OK, `order ${at}`);
   }
 });
--- a/test/incidents/late-registration.test.ts
+++ b/test/incidents/late-registration.test.ts
@@ -1,8 +1,8 @@
 /**
- * A back end was replaced while the directory replica that its daemon had followed stood still. The daemon registered the new
- * life by way of another replica. When the first one went on, it passed on what it had been sent before, a registration of
- * the life that had ended, and the directory took that for news: it ended the registration of the new life and gave its keys
- * away while they were held.
+ * Guards against a delayed registration that ends a newer one. A back end was replaced while the directory replica that its
+ * daemon had followed was suspended, and the daemon registered the new incarnation through another replica. When the first
+ * replica resumed, it forwarded an earlier registration, of the incarnation that had ended. The directory took it for a
+ * newer one: it ended the registration of the new incarnation and gave its keys away while they were held.
  */
 import test from 'ava';
 import type { FleetSpec } from '../../lab/sim/fleet/fleet-spec.js';
@@ -12,12 +12,12 @@
 
 const KEYS = 65_536;
 const SEEDS = [1, 2, 3];
-const CRASHED_MS = 1_000;
-const SUSPENDED_MS = 2_100;
+const CRASH_DURATION_MS = 1_000;
+const SUSPENSION_MS = 2_100;
 
-/** The daemon still follows the replica when its back end says that it leaves, and not any more when the next one begins. */
-const LEAVES_AFTER_MS = 700;
-const ENDS_AFTER_MS = 100;
+/** The daemon still follows the suspended replica when its back end announces its leave, but not when the next one starts. */
+const LEAVE_DELAY_MS = 700;
+const END_DELAY_MS = 100;
 
 const SPEC: FleetSpec = {
   services: [{ name: 'keyed', keyed: true, backends: 3, grantMode: 'invoke' }],
@@ -41,7 +41,7 @@
   endsByItselfEveryMs: null,
 };
 
-/** Events of all daemons that concern the directory. */
+/** Collects the events of all daemons that concern the directory. */
 class DirectoryEvents {
   readonly registrationsEnded: string[] = [];
   followed: string | null = null;
@@ -53,27 +53,27 @@
   }
 
   failure(): void {
-    // Nor do those that fail.
+    // Failures are not recorded.
   }
 
   routine(): void {
-    // Requests say nothing here.
+    // Events of requests are not recorded.
   }
 }
 
-/** Lets replicas crash until daemons follow one that does not lead; one that leads passes on nothing when it wakes. */
+/** Crashes replicas until daemons follow one that does not lead; a former leader forwards nothing when it resumes. */
 async function findFollower(world: FleetWorld, events: DirectoryEvents): Promise<SimReplica> {
   for (;;) {
     const followed = world.directory.replicas.find(({ name }) => name === events.followed);
-    if (followed === undefined) throw new Error('invariant broken: daemons follow nobody');
+    if (followed === undefined) throw new Error('invariant broken: daemons follow no replica');
     if (world.directory.leadingReplica() !== followed) return followed;
-    world.directory.strike('crash', followed, CRASHED_MS);
-    await world.runUntil(world.queue.nowMs + 2 * CRASHED_MS);
+    world.directory.strike('crash', followed, CRASH_DURATION_MS);
+    await world.runUntil(world.queue.nowMs + 2 * CRASH_DURATION_MS);
   }
 }
 
 for (const seed of SEEDS) {
-  test(`a registration that a replica held back ends no newer one: seed ${seed}`, async (t) => {
+  test(`a registration that a suspended replica forwards late ends no newer one: seed ${seed}`, async (t) => {
     const events = new DirectoryEvents();
     const world = new FleetWorld(seed, SPEC, events);
     await world.start();
@@ -81,9 +81,9 @@
     const suspendedMs = world.queue.nowMs;
     const untilMs = suspendedMs + 8_000;
     world.startTraffic(untilMs);
-    world.directory.strike('suspend', followed, SUSPENDED_MS);
-    await world.runUntil(suspendedMs + LEAVES_AFTER_MS);
-    for (const machine of world.machines) machine.retireBackend(ENDS_AFTER_MS);
+    world.directory.strike('suspend', followed, SUSPENSION_MS);
+    await world.runUntil(suspendedMs + LEAVE_DELAY_MS);
+    for (const machine of world.machines) machine.retireBackend(END_DELAY_MS);
     await world.runUntil(untilMs);
     t.deepEqual(events.registrationsEnded, []);
     t.deepEqual(world.violations, []);
--- a/test/incidents/lease-beside-an-older-table.test.ts
+++ b/test/incidents/lease-beside-an-older-table.test.ts
@@ -1,10 +1,10 @@
 /**
- * A daemon that was started anew granted its back end keys which the process before it had released, and which another
- * back end held. The replica that it followed had a disk that held it up and counted as current for 1.2 s more, so its table
- * was of before the move; the lease came from the leader, by way of the same replica, and was good for the session that
- * both processes shared. Nothing told the daemon that the one was older than the other.
+ * Guards against a restarted daemon that grants keys from a table older than its lease. The process before it had released
+ * these keys, and another back end held them. The replica that the daemon followed had a stalled disk and counted as
+ * current for 1.2 s more, so its table dated from before the move. The lease came from the leader through the same replica
+ * and was valid for the session that both processes shared; nothing showed the daemon that the table was older.
  *
- * What settled it, in all seeds, with grants by calls and in heartbeats:
+ * Reproduced in all seeds, with grants by calls and in heartbeats:
  *   registered: session 8, table of index 12; the move is complete since index 13
  *   keyed-0 takes 0-16383@11 after keyed-1 held 0-16383@13
  */
@@ -20,21 +20,21 @@
 const SERVICE = 'keyed';
 const SEEDS = [1, 2, 3, 4, 5, 6];
 
-/** Time for which every back end is granted its keys and nothing moves, in ms. */
-const CALM_MS = 1_000;
+/** Time in ms in which every back end is granted its keys and no keys move. */
+const SETTLE_MS = 1_000;
 
-/** Time for which the disk of a follower stalls; it counts as current for 1,200 ms after it was, in ms. */
+/** Time in ms for which a follower's disk stalls; the follower counts as current for 1,200 ms after it last was. */
 const STALL_MS = 1_500;
 
-/** Time after which a daemon that was killed is back, and until nothing that it granted is held any more, in ms. */
-const DOWN_MS = 150;
-const UNTIL_HELD_NO_MORE_MS = 8_000;
+/** Time in ms until a killed daemon restarts, and until every grant that it made has expired. */
+const OUTAGE_MS = 150;
+const GRANT_EXPIRY_MS = 8_000;
 
-/** How long before a heartbeat a move begins, in ms: it must be known to the daemon, and not to the follower. */
-const BEFORE_HEARTBEAT_MS = 40;
+/** Time in ms from the start of a move to the next heartbeat: the daemon must know of the move, the follower must not. */
+const HEARTBEAT_MARGIN_MS = 40;
 
-/** Pause between looks at what has been done, in ms. */
-const LOOK_MS = 0.2;
+/** Interval in ms between checks of a condition. */
+const CHECK_INTERVAL_MS = 0.2;
 
 interface Move {
   readonly machine: FleetMachine;
@@ -48,7 +48,7 @@
   return { services, traffic: [], backAfterMs: 1_500, slots: 6, endsByItselfEveryMs: null };
 }
 
-function lifeAt({ backend }: FleetMachine): string {
+function incarnationAt({ backend }: FleetMachine): string {
   if (backend === null) throw new Error('invariant broken: no back end');
   return lifeName(backend);
 }
@@ -57,48 +57,48 @@
   return world.directory.leader()?.state.ranges.get(SERVICE) ?? [];
 }
 
-/** A machine whose daemon follows a replica that does not lead when it is started anew, and a move away from there. */
+/** Finds a machine whose daemon follows a replica other than the leader after a restart, and a move away from it. */
 function findMove(world: FleetWorld): Move {
   const { replicas } = world.directory;
   for (const machine of world.machines) {
     const replica = replicas[spread(machine.name, replicas.length)];
-    const range = rangesOf(world).find(({ owner }) => owner === lifeAt(machine));
+    const range = rangesOf(world).find(({ owner }) => owner === incarnationAt(machine));
     const other = world.machines.find((known) => known !== machine);
     if (replica === undefined || replica.node?.leading === true) continue;
     if (range === undefined || other === undefined) continue;
-    return { machine, replica, range, target: lifeAt(other) };
+    return { machine, replica, range, target: incarnationAt(other) };
   }
   throw new Error('invariant broken: all daemons follow the leader');
 }
 
-async function runUntilSeen(world: FleetWorld, seen: () => boolean): Promise<void> {
-  while (!seen()) await world.runUntil(world.queue.nowMs + LOOK_MS);
+async function runUntilTrue(world: FleetWorld, condition: () => boolean): Promise<void> {
+  while (!condition()) await world.runUntil(world.queue.nowMs + CHECK_INTERVAL_MS);
 }
 
-/** A move that begins now is done in the shortest time, also where keys are let go in heartbeats. */
+/** Waits until shortly before a heartbeat, so that a move completes soon also where heartbeats release the keys. */
 async function runUntilBeforeHeartbeat(world: FleetWorld, { backend }: FleetMachine): Promise<void> {
   const sequence = backend?.sequence;
-  await runUntilSeen(world, () => backend?.sequence !== sequence);
-  await world.runUntil(world.queue.nowMs + HEARTBEAT_MS - BEFORE_HEARTBEAT_MS);
+  await runUntilTrue(world, () => backend?.sequence !== sequence);
+  await world.runUntil(world.queue.nowMs + HEARTBEAT_MS - HEARTBEAT_MARGIN_MS);
 }
 
 for (const grantMode of ['invoke', 'heartbeat'] as const) {
-  test(`a daemon that is back grants nothing by a table older than its lease: ${grantMode}`, async (t) => {
+  test(`a restarted daemon grants no keys from a table older than its lease: ${grantMode}`, async (t) => {
     for (const seed of SEEDS) {
       const world = new FleetWorld(seed, specOf(grantMode));
       await world.start();
-      await world.runUntil(FLEET_READY_MS + CALM_MS);
+      await world.runUntil(FLEET_READY_MS + SETTLE_MS);
       const { machine, replica, range, target } = findMove(world);
       await runUntilBeforeHeartbeat(world, machine);
       replica.disk.stallFor(STALL_MS);
       world.beginMove(SERVICE, range.from, range.to, target);
-      await runUntilSeen(world, () =>
+      await runUntilTrue(world, () =>
         rangesOf(world).some(({ owner, from }) => from === range.from && owner === target),
       );
       machine.crash();
-      await world.runUntil(world.queue.nowMs + DOWN_MS);
+      await world.runUntil(world.queue.nowMs + OUTAGE_MS);
       await machine.start();
-      await world.runUntil(world.queue.nowMs + UNTIL_HELD_NO_MORE_MS);
+      await world.runUntil(world.queue.nowMs + GRANT_EXPIRY_MS);
       t.deepEqual(world.violations, [], `seed ${seed}`);
     }
   });
--- a/test/incidents/leave-after-restart.test.ts
+++ b/test/incidents/leave-after-restart.test.ts
@@ -1,8 +1,9 @@
 /**
- * A daemon was killed and was back at once; its back end said that it leaves, and served on. The new process knew of nothing
- * that had been granted and gave the registration up, so the keys went to others while the back end still held them.
+ * Guards against a registration that ends while its back end still holds keys. A daemon was killed and restarted at once;
+ * its back end announced its leave and kept serving. The new process knew of no grants and gave up the registration, so the
+ * keys were granted to other back ends while the leaving one still held them.
  *
- * What settled it, with grants in heartbeats, in all seeds:
+ * Reproduced in all seeds, with grants in heartbeats:
  *   keyed-0|keyed-1 hold the same keys for more than 500 ms
  */
 import test from 'ava';
@@ -12,18 +13,18 @@
 import type { GrantMode } from '../../src/directory/directory-state.js';
 
 const SEEDS = [1, 2, 3, 4, 5, 6];
-const CALM_MS = 1_000;
+const SETTLE_MS = 1_000;
 
-/** Time after which the daemon is back, and from its next heartbeat on until the back end says goodbye, in ms. */
-const DOWN_MS = 100;
-const GOODBYE_AFTER_MS = 20;
+/** Time in ms until the daemon restarts, and from the back end's next heartbeat to its goodbye. */
+const OUTAGE_MS = 100;
+const GOODBYE_DELAY_MS = 20;
 
-/** Pauses from the back end's last word to the end of its daemon's being cut off from the directory, in ms. */
-const HEALED_AFTER_MS = [0, 30, 60, 300];
+/** Times in ms from the goodbye until the daemon reaches the directory again. */
+const HEAL_DELAYS_MS = [0, 30, 60, 300];
 
-/** Time until nothing that was granted is held any more, and pause between looks, in ms. */
-const UNTIL_HELD_NO_MORE_MS = 8_000;
-const LOOK_MS = 1;
+/** Time in ms until every grant has expired, and interval between checks. */
+const GRANT_EXPIRY_MS = 8_000;
+const CHECK_INTERVAL_MS = 1;
 
 function specOf(grantMode: GrantMode): FleetSpec {
   const services = [{ name: 'keyed', keyed: true, backends: 4, grantMode }];
@@ -32,19 +33,19 @@
 
 async function runUntilHeartbeat(world: FleetWorld, { backend }: FleetMachine): Promise<void> {
   const sequence = backend?.sequence;
-  while (backend?.sequence === sequence) await world.runUntil(world.queue.nowMs + LOOK_MS);
+  while (backend?.sequence === sequence) await world.runUntil(world.queue.nowMs + CHECK_INTERVAL_MS);
 }
 
 for (const grantMode of ['invoke', 'heartbeat'] as const) {
-  test(`a back end that leaves a daemon just started keeps its registration while it may hold keys: ${grantMode}`, async (t) => {
+  test(`a back end that leaves just after its daemon restarted stays registered while it may hold keys: ${grantMode}`, async (t) => {
     for (const seed of SEEDS) {
-      for (const healedAfterMs of HEALED_AFTER_MS) {
+      for (const healDelayMs of HEAL_DELAYS_MS) {
         const world = new FleetWorld(seed, specOf(grantMode));
         const wait = async (ms: number): Promise<void> => {
           await world.runUntil(world.queue.nowMs + ms);
         };
         await world.start();
-        await world.runUntil(FLEET_READY_MS + CALM_MS);
+        await world.runUntil(FLEET_READY_MS + SETTLE_MS);
         const [machine] = world.machines;
         if (machine === undefined) throw new Error('invariant broken: no machine');
         await runUntilHeartbeat(world, machine);
@@ -52,15 +53,15 @@
         await wait(HEARTBEAT_MS / 100);
         machine.crash();
         world.cutFromDirectory(machine);
-        await wait(DOWN_MS);
+        await wait(OUTAGE_MS);
         await machine.start();
         await runUntilHeartbeat(world, machine);
-        await wait(GOODBYE_AFTER_MS);
+        await wait(GOODBYE_DELAY_MS);
         machine.sayGoodbye();
-        await wait(healedAfterMs);
+        await wait(healDelayMs);
         world.heal();
-        await wait(UNTIL_HELD_NO_MORE_MS);
-        t.deepEqual(world.violations, [], `seed ${seed}, healed after ${healedAfterMs} ms`);
+        await wait(GRANT_EXPIRY_MS);
+        t.deepEqual(world.violations, [], `seed ${seed}, healed after ${healDelayMs} ms`);
       }
     }
   });
--- a/test/incidents/long-change.test.ts
+++ b/test/incidents/long-change.test.ts
@@ -1,4 +1,4 @@
-/** A long change of the configuration cost its leader the leadership, and was acknowledged by none. */
+/** Guards against a long change of the configuration that costs its leader the leadership and is never acknowledged. */
 import test from 'ava';
 import { DirectoryWorld } from '../../lab/sim/directory-world.js';
 import { SimOperator } from '../../lab/sim/sim-operator.js';
@@ -14,16 +14,16 @@
 const READY_MS = 6_000;
 const ROUTES = 1_400;
 
-/** Bound of an acknowledgement in calm, in ms, and by how much it is longer for each route of the change. */
-const BOUND_MS = 4_000;
-const BOUND_PER_ROUTE_MS = 3;
+/** Bound in ms of an acknowledgement without faults, and addition for each route of the change. */
+const ACKNOWLEDGEMENT_BOUND_MS = 4_000;
+const ACKNOWLEDGEMENT_BOUND_PER_ROUTE_MS = 3;
 
-/** Part of the acknowledgements that the operator does not hear. */
+/** Share of the acknowledgements that do not reach the operator. */
 const LOST_SHARE = 0.6;
 
 const OK = 200;
 
-async function calmWorld(seed: number): Promise<{ world: DirectoryWorld; operator: SimOperator }> {
+async function startWorld(seed: number): Promise<{ world: DirectoryWorld; operator: SimOperator }> {
   const world = new DirectoryWorld(seed, SIZE);
   await world.start();
   await world.runUntil(READY_MS);
@@ -32,7 +32,7 @@
   return { world, operator };
 }
 
-function change(base: number, version: number, routes: number): Parameters<SimOperator['send']>[0] {
+function makeChange(base: number, version: number, routes: number): Parameters<SimOperator['send']>[0] {
   const table = Object.fromEntries(
     Array.from({ length: routes }, (_, at) => [`route-${version}-${at}`, route(at)]),
   );
@@ -58,15 +58,15 @@
   return world.leader()?.consensus?.core.term;
 }
 
-test('a long change is acknowledged in calm, although acknowledgements are lost, and costs no election', async (t) => {
+test('a long change is acknowledged although acknowledgements are lost, and causes no election', async (t) => {
   for (const seed of SEEDS) {
-    const { world, operator } = await calmWorld(seed);
-    const first = operator.send(change(0, 1, 1));
-    await world.runUntil(READY_MS + BOUND_MS);
+    const { world, operator } = await startWorld(seed);
+    const first = operator.send(makeChange(0, 1, 1));
+    await world.runUntil(READY_MS + ACKNOWLEDGEMENT_BOUND_MS);
     t.is(first.status ?? OK, OK, `seed ${seed}: the first change`);
     const termBefore = termOf(world);
-    const long = operator.send(change(1, 2, ROUTES));
-    const boundMs = BOUND_MS + ROUTES * BOUND_PER_ROUTE_MS;
+    const long = operator.send(makeChange(1, 2, ROUTES));
+    const boundMs = ACKNOWLEDGEMENT_BOUND_MS + ROUTES * ACKNOWLEDGEMENT_BOUND_PER_ROUTE_MS;
     await world.runUntil(long.sentMs + boundMs);
     t.not(
       long.acknowledgedMs,
@@ -79,16 +79,20 @@
 
 test('a short change behind a long one is acknowledged within the bound of a short one', async (t) => {
   for (const seed of SEEDS) {
-    const { world, operator } = await calmWorld(seed);
-    operator.send(change(0, 1, 1));
-    await world.runUntil(READY_MS + BOUND_MS);
-    const long = operator.send(change(1, 2, ROUTES));
-    while (long.acknowledgedMs === null && world.queue.nowMs < long.sentMs + BOUND_MS * 4) {
+    const { world, operator } = await startWorld(seed);
+    operator.send(makeChange(0, 1, 1));
+    await world.runUntil(READY_MS + ACKNOWLEDGEMENT_BOUND_MS);
+    const long = operator.send(makeChange(1, 2, ROUTES));
+    while (long.acknowledgedMs === null && world.queue.nowMs < long.sentMs + ACKNOWLEDGEMENT_BOUND_MS * 4) {
       await world.runUntil(world.queue.nowMs + 50);
     }
     t.not(long.acknowledgedMs, null, `seed ${seed}: no acknowledgement of the long change`);
-    const short = operator.send(change(2, 3, 1));
-    await world.runUntil(short.sentMs + BOUND_MS);
-    t.not(short.acknowledgedMs, null, `seed ${seed}: no acknowledgement after ${BOUND_MS} ms`);
+    const short = operator.send(makeChange(2, 3, 1));
+    await world.runUntil(short.sentMs + ACKNOWLEDGEMENT_BOUND_MS);
+    t.not(
+      short.acknowledgedMs,
+      null,
+      `seed ${seed}: no acknowledgement after ${ACKNOWLEDGEMENT_BOUND_MS} ms`,
+    );
   }
 });
--- a/test/incidents/request-that-ends-back-ends.test.ts
+++ b/test/incidents/request-that-ends-back-ends.test.ts
@@ -1,40 +1,38 @@
 /**
- * A service lost one back end after the other, nine within a minute, although it was asked for no more than in calm
- * seconds and the services beside it were well. One request ended every back end that began to run it. It came again and
- * again, with a new id each time and through another daemon, and nothing that the daemons knew outlived a request, so each
- * coming was sent to the next back end; up to five others broke off with it each time, and of 47 requests of the service
- * in a second 5 were answered in time.
+ * Guards against one request that crashes one back end after another. A service lost nine back ends within a minute, under
+ * no more load than before, while the services beside it were healthy. The request was repeated with a new id each time and
+ * through another daemon. Daemons kept no record beyond a request, so each repetition was sent to the next back end; up to
+ * five other requests broke off with it each time, and of 47 requests of the service in a second 5 were answered in time.
  *
- * What settled it: the broken runs of all five ends that were logged had one key in common, and no other key occurred at
- * two of them:
+ * The broken runs of all five logged crashes had one key in common, and no other key occurred at two of them:
  *   36.7398 "event":"run-ended","instance":"i-e115c347ef","key":18124,"outcome":{"kind":"broken",...},"usedMs":46
  *   39.6721 "event":"run-ended","instance":"i-3e6a840a19","key":18124,"outcome":{"kind":"broken",...},"usedMs":90
  *   44.5196 "event":"run-ended","instance":"i-f11e9d6dce","key":18124,"outcome":{"kind":"broken",...},"usedMs":63
  *   45.9911 "event":"run-ended","instance":"i-0cba57f576","key":18124,"outcome":{"kind":"broken",...},"usedMs":103
  *   46.5050 "event":"run-ended","instance":"i-81642092ab","key":18124,"outcome":{"kind":"broken",...},"usedMs":97
- * None of the 32 requests of that key whose end was logged was answered, and they had come in beside three services.
+ * None of the 32 requests of that key whose end was logged was answered; they arrived at daemons of three services.
  */
 import test from 'ava';
 import type { FleetSpec, FleetTraffic } from '../../lab/sim/fleet/fleet-spec.js';
 import { FLEET_READY_MS, FleetWorld } from '../../lab/sim/fleet/fleet-world.js';
 
-/** Time in ms after the third end within which every daemon must know. */
-const CONTACT_MS = 3_000;
+/** Time in ms after the third crash within which every daemon must know of the request. */
+const PROPAGATION_MS = 3_000;
 
-/** Status of an answer after which no caller comes back. */
+/** Status of a final refusal, after which no caller retries. */
 const FINAL_STATUS = 400;
 
-/** Ends after which a request counts as one that ends what runs it, and runs of it that may follow. */
-const ENDS_THAT_TELL = 3;
-const RUNS_ALLOWED = 3;
+/** Crashes after which a request counts as crashing its back ends, and runs of it that may follow. */
+const CRASHES_TO_DETECT = 3;
+const MAX_LATER_RUNS = 3;
 
 const TRAFFIC_MS = 24_000;
-const UNTIL_MS = FLEET_READY_MS + TRAFFIC_MS;
+const END_MS = FLEET_READY_MS + TRAFFIC_MS;
 const SEEDS = [1, 2, 3];
 const MANY_SEEDS = Array.from({ length: 10 }, (_, at) => at + 1);
 
 const KEYS = 65_536;
-const GUILTY_KEY = 18_124;
+const CRASHING_KEY = 18_124;
 
 const COMMON = {
   fromMs: FLEET_READY_MS,
@@ -44,17 +42,17 @@
   endsBackend: false,
 } as const;
 
-/** Requests of which each has a path of its own. */
-function varied(service: string, keyed: boolean, method: 'GET' | 'POST'): FleetTraffic {
+/** Requests that each have a path of their own. */
+function distinctRequests(service: string, keyed: boolean, method: 'GET' | 'POST'): FleetTraffic {
   const name = `${service}-${method}`;
   const key = (number: number): number | null => (keyed ? (number * 7_919) % KEYS : null);
   return { ...COMMON, name, service, method, path: (number) => `/${name}/${number}`, key, everyMs: 70 };
 }
 
-/** The same request again and again, beside all the others. */
-function popular(service: string, keyed: boolean): FleetTraffic {
+/** One request that is repeated, alongside all the others. */
+function repeatedRequests(service: string, keyed: boolean): FleetTraffic {
   const name = `${service}-popular`;
-  const key = keyed ? GUILTY_KEY + 1 : null;
+  const key = keyed ? CRASHING_KEY + 1 : null;
   return {
     ...COMMON,
     name,
@@ -66,12 +64,12 @@
   };
 }
 
-/** The request that ends every back end that runs it. */
-function guilty(service: string, keyed: boolean, method: 'GET' | 'POST'): FleetTraffic {
-  const name = 'guilty';
-  const key = keyed ? GUILTY_KEY : null;
+/** The request that crashes every back end that runs it. */
+function crashingRequests(service: string, keyed: boolean, method: 'GET' | 'POST'): FleetTraffic {
+  const name = 'crashing';
+  const key = keyed ? CRASHING_KEY : null;
   const fromMs = FLEET_READY_MS + 2_000;
-  const path = (): string => '/guilty/same';
+  const path = (): string => '/crashing/same';
   return { ...COMMON, name, service, method, path, key: () => key, fromMs, everyMs: 350, endsBackend: true };
 }
 
@@ -82,11 +80,11 @@
       { name: 'keyed', keyed: true, backends: 4, grantMode: 'heartbeat' },
     ],
     traffic: [
-      varied('plain', false, 'GET'),
-      varied('plain', false, 'POST'),
-      popular('plain', false),
-      varied('keyed', true, 'GET'),
-      popular('keyed', true),
+      distinctRequests('plain', false, 'GET'),
+      distinctRequests('plain', false, 'POST'),
+      repeatedRequests('plain', false),
+      distinctRequests('keyed', true, 'GET'),
+      repeatedRequests('keyed', true),
       ...traffic,
     ],
     backAfterMs: 1_500,
@@ -95,62 +93,69 @@
   };
 }
 
-const INNOCENT = ['plain-GET', 'plain-POST', 'plain-popular', 'keyed-GET', 'keyed-popular'];
+const OTHER_TRAFFIC = ['plain-GET', 'plain-POST', 'plain-popular', 'keyed-GET', 'keyed-popular'];
 
-const POPULAR: ReadonlySet<string> = new Set(['plain-popular', 'keyed-popular']);
+const REPEATED: ReadonlySet<string> = new Set(['plain-popular', 'keyed-popular']);
 
-/** Who sends the request, and the least share of all other requests that must be served meanwhile. */
-const CASES: readonly { name: string; guilty: FleetTraffic; leastServed: number }[] = [
-  { name: 'a request that may be repeated', guilty: guilty('plain', false, 'GET'), leastServed: 0.97 },
-  { name: 'a request that must not be repeated', guilty: guilty('plain', false, 'POST'), leastServed: 0.97 },
-  { name: 'a request that has a key', guilty: guilty('keyed', true, 'GET'), leastServed: 0.93 },
+/** Kinds of the crashing request, and the minimum share of all other requests that must be served meanwhile. */
+const CASES: readonly { name: string; crashing: FleetTraffic; minServed: number }[] = [
+  { name: 'an idempotent request', crashing: crashingRequests('plain', false, 'GET'), minServed: 0.97 },
+  {
+    name: 'a request that is not idempotent',
+    crashing: crashingRequests('plain', false, 'POST'),
+    minServed: 0.97,
+  },
+  { name: 'a request with a key', crashing: crashingRequests('keyed', true, 'GET'), minServed: 0.93 },
 ];
 
-async function play(seed: number, spec: FleetSpec): Promise<FleetWorld> {
+async function runWorld(seed: number, spec: FleetSpec): Promise<FleetWorld> {
   const world = new FleetWorld(seed, spec);
   await world.start();
-  world.startTraffic(UNTIL_MS);
-  await world.runUntil(UNTIL_MS);
+  world.startTraffic(END_MS);
+  await world.runUntil(END_MS);
   return world;
 }
 
-function leastShare(world: FleetWorld): number {
-  return Math.min(...INNOCENT.map((traffic) => world.servedShare(traffic)));
+function minServedShare(world: FleetWorld): number {
+  return Math.min(...OTHER_TRAFFIC.map((traffic) => world.servedShare(traffic)));
 }
 
-for (const { name, guilty: request, leastServed } of CASES) {
-  test(`${name} and ends every back end that runs it is sent to three of them, and to three more at most`, async (t) => {
+for (const { name, crashing: request, minServed } of CASES) {
+  test(`${name} that crashes its back ends is sent to three of them, and to at most three more`, async (t) => {
     for (const seed of SEEDS) {
-      const world = await play(seed, fleet([request]));
+      const world = await runWorld(seed, fleet([request]));
       const ends = world.ends().filter(({ under }) => under.includes(request.name));
-      const toldMs = ends[ENDS_THAT_TELL - 1]?.atMs ?? Infinity;
-      const later = world.runsSince(request.name, toldMs + CONTACT_MS).length;
-      t.true(later <= RUNS_ALLOWED, `seed ${seed}: ${later} runs long after the third end`);
-      t.true(ends.length <= ENDS_THAT_TELL + RUNS_ALLOWED, `seed ${seed}: ${ends.length} back ends ended`);
+      const detectedMs = ends[CRASHES_TO_DETECT - 1]?.atMs ?? Infinity;
+      const later = world.runsSince(request.name, detectedMs + PROPAGATION_MS).length;
+      t.true(later <= MAX_LATER_RUNS, `seed ${seed}: ${later} runs long after the third crash`);
       t.true(
-        leastShare(world) >= leastServed,
-        `seed ${seed}: ${leastShare(world)} of the others were served`,
+        ends.length <= CRASHES_TO_DETECT + MAX_LATER_RUNS,
+        `seed ${seed}: ${ends.length} back ends ended`,
+      );
+      t.true(
+        minServedShare(world) >= minServed,
+        `seed ${seed}: ${minServedShare(world)} of the others were served`,
       );
     }
   });
 }
 
-test('back ends that end by themselves shut out no request, however often it comes', async (t) => {
+test('back ends that crash by themselves block no request, however frequent it is', async (t) => {
   let sharesSum = 0;
   let endsUnderPopular = 0;
   for (const seed of MANY_SEEDS) {
-    const world = await play(seed, fleet([], 900));
-    const under = world.ends().filter((end) => end.under.some((traffic) => POPULAR.has(traffic)));
+    const world = await runWorld(seed, fleet([], 900));
+    const under = world.ends().filter((end) => end.under.some((traffic) => REPEATED.has(traffic)));
     endsUnderPopular += under.length;
     const tries = world.callers.requests.flatMap((request) => request.tries);
     const shutOut = tries.filter(({ status }) => status === FINAL_STATUS).length;
     t.is(shutOut, 0, `seed ${seed}: ${shutOut} requests were refused for good`);
-    sharesSum += leastShare(world);
+    sharesSum += minServedShare(world);
   }
-  const leastEnds = 4 * MANY_SEEDS.length;
-  t.true(endsUnderPopular >= leastEnds, `${endsUnderPopular} back ends ended under requests that come often`);
-  // An owner that ends thrice in a row costs its busiest key 0.1: 40 seeds of the untouched code gave 0.968 on average
-  // with a deviation of 0.015, so the mean of ten tells a loss of 0.02 from luck.
+  const minEnds = 4 * MANY_SEEDS.length;
+  t.true(endsUnderPopular >= minEnds, `${endsUnderPopular} back ends ended under frequent requests`);
+  // An owner that crashes three times in a row costs its busiest key 0.1: 40 seeds of the unmodified code gave a mean of
+  // 0.968 with a standard deviation of 0.015, so the mean of ten seeds shows a loss of 0.02 reliably.
   const share = sharesSum / MANY_SEEDS.length;
   t.true(share >= 0.95, `${share} were served`);
 });
--- a/test/incidents/suspended-machines.test.ts
+++ b/test/incidents/suspended-machines.test.ts
@@ -1,9 +1,9 @@
 /**
- * A machine may be suspended for seconds. Its steady clock does not count that time, so a daemon that wakes up finds every
- * lease, grant and confirmation as fresh as before, although the others have long gone on without it: its keys have been
- * given to another back end, and it goes on granting them to its own.
+ * Guards against a daemon that grants keys on an expired lease after its machine was suspended for seconds. The monotonic
+ * clock does not count that time, so the daemon finds every lease, grant and confirmation as fresh as before, although the
+ * directory has given its keys to another back end meanwhile, and it keeps granting them to its own.
  *
- * No line of a log settled this; the clocks of the daemons did. Every time that they compared came from CLOCK_MONOTONIC.
+ * The cause shows in the clocks of the daemons, not in a log: every time that they compared came from CLOCK_MONOTONIC.
  */
 import test from 'ava';
 import type { FleetSpec } from '../../lab/sim/fleet/fleet-spec.js';
@@ -12,11 +12,12 @@
 
 const KEYS = 65_536;
 
-/** Longer than a lease, and for how long the machine is cut off from the directory after it has woken. */
-const SUSPENDED_MS = 12_000;
-/** Shorter than a lease, and long enough for another life of the back end to begin. */
-const FROZEN_MS = 3_000;
-const STILL_CUT_MS = 3_000;
+/** Time in ms of a suspension that is longer than a lease. */
+const SUSPENSION_MS = 12_000;
+/** Time in ms that is shorter than a lease, and long enough for a new incarnation of the back end to start. */
+const FREEZE_MS = 3_000;
+/** Time in ms for which the machine stays cut off from the directory after it has resumed. */
+const CUT_AFTER_RESUME_MS = 3_000;
 const SEEDS = [1, 2, 3];
 
 function keyedFleet(grantMode: 'heartbeat' | 'invoke'): FleetSpec {
@@ -44,20 +45,20 @@
 }
 
 for (const grantMode of ['heartbeat', 'invoke'] as const) {
-  test(`a machine that wakes after its lease grants no keys that have another owner: ${grantMode}`, async (t) => {
+  test(`a machine that resumes after its lease expired grants no keys that have another owner: ${grantMode}`, async (t) => {
     for (const seed of SEEDS) {
       const world = new FleetWorld(seed, keyedFleet(grantMode));
       await world.start();
-      const untilMs = FLEET_READY_MS + SUSPENDED_MS + STILL_CUT_MS + 6_000;
+      const untilMs = FLEET_READY_MS + SUSPENSION_MS + CUT_AFTER_RESUME_MS + 6_000;
       world.startTraffic(untilMs);
       const machine = world.machines[0];
       if (machine === undefined) throw new Error('invariant broken: no machine');
       await world.runUntil(FLEET_READY_MS + 1_000);
       world.cutFromDirectory(machine);
       machine.process.suspend();
-      await world.runUntil(FLEET_READY_MS + 1_000 + SUSPENDED_MS);
+      await world.runUntil(FLEET_READY_MS + 1_000 + SUSPENSION_MS);
       machine.process.thaw();
-      await world.runUntil(FLEET_READY_MS + 1_000 + SUSPENDED_MS + STILL_CUT_MS);
+      await world.runUntil(FLEET_READY_MS + 1_000 + SUSPENSION_MS + CUT_AFTER_RESUME_MS);
       world.heal();
       await world.runUntil(untilMs);
       t.deepEqual(world.violations, [], `seed ${seed}`);
@@ -70,7 +71,7 @@
 }
 
 for (const grantMode of ['heartbeat', 'invoke'] as const) {
-  test(`a daemon that stood still grants nothing to a back end that has begun at the address meanwhile: ${grantMode}`, async (t) => {
+  test(`a daemon that was frozen grants nothing to a back end that started at the address meanwhile: ${grantMode}`, async (t) => {
     for (const seed of SEEDS) {
       const world = new FleetWorld(seed, keyedFleet(grantMode));
       await world.start();
@@ -81,7 +82,7 @@
       await world.runUntil(FLEET_READY_MS + 1_000);
       machine.process.freeze();
       machine.retireBackend(400);
-      await world.runUntil(FLEET_READY_MS + 1_000 + FROZEN_MS);
+      await world.runUntil(FLEET_READY_MS + 1_000 + FREEZE_MS);
       machine.process.thaw();
       await world.runUntil(untilMs);
       t.deepEqual(world.violations, [], `seed ${seed}`);
@@ -93,7 +94,7 @@
   });
 }
 
-test('the wall clock of a leader that steps forward ends no lease before its time', async (t) => {
+test('a forward step of the wall clock of a leader expires no lease early', async (t) => {
   const world = new DirectoryWorld(1);
   await world.start();
   await world.runUntil(5_000);
@@ -106,5 +107,5 @@
     world.watchers.map(({ lease }) => lease.session),
     sessions,
   );
-  t.is(world.directory.leadingReplica()?.name, leader?.name, 'it leads on');
+  t.is(world.directory.leadingReplica()?.name, leader?.name, 'it is still the leader');
 });
--- a/test/incidents/who-knows.test.ts
+++ b/test/incidents/who-knows.test.ts
@@ -1,6 +1,6 @@
 /**
- * Who knows of a request that ends back ends, and until when: while the directory changes its leader, at daemons that start
- * with nothing or come back from a cut, and when a repaired version of the service is there.
+ * Guards against daemons that lose the record of a request that crashes back ends: while the directory changes its leader,
+ * at daemons that start without state or were cut off, and against a record that outlives the repair of the service.
  */
 import test from 'ava';
 import { routeOf } from '../../lab/sim/fleet/fleet-callers.js';
@@ -9,10 +9,10 @@
 
 const SEEDS = [1, 2, 3];
 const FINAL_STATUS = 400;
-const PROVED_BY_MS = FLEET_READY_MS + 10_000;
+const DETECTED_BY_MS = FLEET_READY_MS + 10_000;
 
-/** When the last of five back ends that are replaced one by one from then on is there. */
-const REPAIRED_MS = PROVED_BY_MS + 10_200;
+/** Time in ms when the last of five back ends, replaced one by one from then on, has started. */
+const REPAIRED_MS = DETECTED_BY_MS + 10_200;
 
 const COMMON = {
   fromMs: FLEET_READY_MS,
@@ -32,32 +32,32 @@
   everyMs: 50,
 };
 
-const GUILTY: FleetTraffic = {
+const CRASHING: FleetTraffic = {
   ...COMMON,
-  name: 'guilty',
+  name: 'crashing',
   service: 'plain',
   method: 'GET',
-  path: () => '/guilty/same',
+  path: () => '/crashing/same',
   key: () => null,
   everyMs: 400,
   endsBackend: true,
 };
 
-function spec(guilty: FleetTraffic = GUILTY): FleetSpec {
+function spec(crashing: FleetTraffic = CRASHING): FleetSpec {
   return {
     services: [{ name: 'plain', keyed: false, backends: 5, grantMode: 'heartbeat' }],
-    traffic: [READS, guilty],
+    traffic: [READS, crashing],
     backAfterMs: 1_500,
     slots: 6,
     endsByItselfEveryMs: null,
   };
 }
 
-function guiltyEnds(world: FleetWorld): number {
-  return world.ends().filter(({ under }) => under.includes('guilty')).length;
+function crashesByRequest(world: FleetWorld): number {
+  return world.ends().filter(({ under }) => under.includes('crashing')).length;
 }
 
-test('while leaders of the directory come and go it is sent to three back ends, and three more at most', async (t) => {
+test('while the directory changes leaders the request is sent to three back ends, and at most three more', async (t) => {
   for (const seed of SEEDS) {
     const world = new FleetWorld(seed, spec());
     await world.start();
@@ -70,7 +70,7 @@
       });
     }
     await world.runUntil(untilMs);
-    t.true(guiltyEnds(world) <= 6, `seed ${seed}: ${guiltyEnds(world)} back ends ended`);
+    t.true(crashesByRequest(world) <= 6, `seed ${seed}: ${crashesByRequest(world)} back ends ended`);
     t.true(
       world.servedShare('reads') > 0.9,
       `seed ${seed}: ${world.servedShare('reads')} of the others were served`,
@@ -78,74 +78,74 @@
   }
 });
 
-test('a daemon that starts with nothing, and one that was cut off from the directory, refuse it for good as well', async (t) => {
+test('a daemon without state, and one that was cut off from the directory, refuse the request permanently as well', async (t) => {
   for (const seed of SEEDS) {
     const world = new FleetWorld(seed, spec());
     await world.start();
     const [restarted, cut] = world.machines;
     if (restarted === undefined || cut === undefined) throw new Error('invariant broken: no machines');
-    const untilMs = PROVED_BY_MS + 14_000;
+    const untilMs = DETECTED_BY_MS + 14_000;
     world.startTraffic(untilMs);
     world.queue.at(FLEET_READY_MS, () => {
       world.cutFromDirectory(cut);
     });
-    world.queue.at(PROVED_BY_MS, () => {
+    world.queue.at(DETECTED_BY_MS, () => {
       world.heal();
       restarted.crash();
     });
-    world.queue.at(PROVED_BY_MS + 500, () => void restarted.start());
+    world.queue.at(DETECTED_BY_MS + 500, () => void restarted.start());
     await world.runUntil(untilMs);
-    const knowMs = PROVED_BY_MS + 3_000;
+    const knownMs = DETECTED_BY_MS + 3_000;
     for (const machine of [restarted, cut]) {
-      const tries = world.triesAt(machine.name).filter(({ atMs }) => atMs > knowMs);
-      const guilty = tries.filter(({ traffic, status }) => traffic === 'guilty' && status !== null);
-      t.true(guilty.length > 0, `seed ${seed}: it came in at ${machine.name}`);
+      const tries = world.triesAt(machine.name).filter(({ atMs }) => atMs > knownMs);
+      const answers = tries.filter(({ traffic, status }) => traffic === 'crashing' && status !== null);
+      t.true(answers.length > 0, `seed ${seed}: no request arrived at ${machine.name}`);
       t.true(
-        guilty.every(({ status }) => status === FINAL_STATUS),
-        `seed ${seed}: ${JSON.stringify(guilty.map(({ status }) => status))} at ${machine.name}`,
+        answers.every(({ status }) => status === FINAL_STATUS),
+        `seed ${seed}: ${JSON.stringify(answers.map(({ status }) => status))} at ${machine.name}`,
       );
     }
-    t.is(world.runsSince('guilty', knowMs).length, 0, `seed ${seed}`);
+    t.is(world.runsSince('crashing', knownMs).length, 0, `seed ${seed}`);
   }
 });
 
-test('a repaired version of the service runs it again, while back ends of the old one do not', async (t) => {
+test('a repaired version of the service runs the request again, while back ends of the old version do not', async (t) => {
   for (const seed of SEEDS) {
-    const guilty = { ...GUILTY, endsBackend: ['v1'] };
-    const world = new FleetWorld(seed, spec(guilty));
+    const crashing = { ...CRASHING, endsBackend: ['v1'] };
+    const world = new FleetWorld(seed, spec(crashing));
     await world.start();
-    const untilMs = PROVED_BY_MS + 14_000;
+    const untilMs = DETECTED_BY_MS + 14_000;
     world.startTraffic(untilMs);
-    world.queue.at(PROVED_BY_MS, () => {
+    world.queue.at(DETECTED_BY_MS, () => {
       world.version = 'v2';
     });
     world.machines.forEach((machine, at) => {
-      world.queue.at(PROVED_BY_MS + 100 + at * 2_000, () => {
+      world.queue.at(DETECTED_BY_MS + 100 + at * 2_000, () => {
         machine.retireBackend(500);
       });
     });
-    await world.runUntil(PROVED_BY_MS);
-    const endedBefore = guiltyEnds(world);
+    await world.runUntil(DETECTED_BY_MS);
+    const endedBefore = crashesByRequest(world);
     await world.runUntil(untilMs);
-    t.is(guiltyEnds(world), endedBefore, `seed ${seed}: no back end ended once it was known`);
-    const share = world.servedShare('guilty', REPAIRED_MS, untilMs - 500);
-    t.true(share > 0.9, `seed ${seed}: ${share} of it was served by the repaired version`);
+    t.is(crashesByRequest(world), endedBefore, `seed ${seed}: a back end ended after the request was known`);
+    const share = world.servedShare('crashing', REPAIRED_MS, untilMs - 500);
+    t.true(share > 0.9, `seed ${seed}: ${share} of the requests were served by the repaired version`);
   }
 });
 
-/** Runs that were under way at the third end are not counted: one that began a moment before it may end a fourth back end. */
+/** Runs in flight at the third crash are not counted: one that began a moment before may crash a fourth back end. */
 const OPERATOR_SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
 
-test('an operator gives it another chance, and three runs after the third end are all', async (t) => {
+test('an operator reopens the request, and at most three runs follow the third crash', async (t) => {
   for (const seed of OPERATOR_SEEDS) {
     const world = new FleetWorld(seed, spec());
     await world.start();
-    const untilMs = PROVED_BY_MS + 20_000;
+    const untilMs = DETECTED_BY_MS + 20_000;
     world.startTraffic(untilMs);
-    await world.runUntil(PROVED_BY_MS);
-    const before = guiltyEnds(world);
+    await world.runUntil(DETECTED_BY_MS);
+    const before = crashesByRequest(world);
     for (let at = 0; at < 6; at += 1) {
-      world.queue.at(PROVED_BY_MS + at * 3_000, () => {
+      world.queue.at(DETECTED_BY_MS + at * 3_000, () => {
         const leader = world.directory.leader();
         for (const { fingerprint } of leader?.state.crashRecords.values() ?? []) {
           void leader?.propose({ kind: 'reopen-request', fingerprint, by: 'operator' });
@@ -153,11 +153,11 @@
       });
     }
     await world.runUntil(untilMs);
-    t.true(guiltyEnds(world) > before, `seed ${seed}: it was tried again`);
-    const ends = world.ends().filter(({ under }) => under.includes('guilty'));
-    const later = world.runsSince('guilty', ends[2]?.atMs ?? Infinity).length;
-    t.true(later <= 3, `seed ${seed}: ${later} runs began after the third end`);
+    t.true(crashesByRequest(world) > before, `seed ${seed}: the request did not run again`);
+    const ends = world.ends().filter(({ under }) => under.includes('crashing'));
+    const later = world.runsSince('crashing', ends[2]?.atMs ?? Infinity).length;
+    t.true(later <= 3, `seed ${seed}: ${later} runs began after the third crash`);
     t.true(ends.length <= 7, `seed ${seed}: ${ends.length} back ends ended`);
   }
-  t.is(routeOf(GUILTY).maxAttempts, 2);
+  t.is(routeOf(CRASHING).maxAttempts, 2);
 });
