--- a/lab/soak/awaited-changes.ts
+++ b/lab/soak/awaited-changes.ts
@@ -1,49 +1,49 @@
-/** Orders of the operator that no replica has acknowledged yet; in calm each must be within a bound. */
+/** Tracks changes that no replica has acknowledged yet; without faults each must be acknowledged within a bound. */
 
-/** When an order is overdue, in ms of one stretch of calm. */
+/** Time in ms without faults after which a change is overdue. */
 export interface AcknowledgementBound {
-  readonly orderMs: number;
-  /** How much longer it may take for each route that it brings. */
+  readonly baseMs: number;
+  /** Addition for each route of the change. */
   readonly perRouteMs: number;
 }
 
-/** An order that waits for its acknowledgement. */
-interface AwaitedOrder {
+/** A change that waits for its acknowledgement. */
+interface AwaitedChange {
   readonly name: string;
   readonly boundMs: number;
-  /** Since when it has waited in calm; null while something is amiss. */
-  calmSinceMs: number | null;
+  /** Start of the current wait without faults; null while there is a fault. */
+  undisturbedSinceMs: number | null;
 }
 
-/** The orders of one operator. */
+/** Pending changes of one operator. */
 export class AwaitedChanges {
-  private readonly awaited = new Set<AwaitedOrder>();
+  private readonly awaited = new Set<AwaitedChange>();
 
   constructor(
     private readonly bound: AcknowledgementBound,
     private readonly onOverdue: (detail: string, nowMs: number) => void,
   ) {}
 
-  /** An order is sent for the first time; returns what to call once it is acknowledged, or given up. */
+  /** Registers a change that is sent for the first time; the returned function ends the wait, once acknowledged or given up. */
   begin(name: string, routes: number): () => void {
-    const { orderMs, perRouteMs } = this.bound;
-    const order: AwaitedOrder = { name, boundMs: orderMs + perRouteMs * routes, calmSinceMs: null };
-    this.awaited.add(order);
+    const { baseMs, perRouteMs } = this.bound;
+    const change: AwaitedChange = { name, boundMs: baseMs + perRouteMs * routes, undisturbedSinceMs: null };
+    this.awaited.add(change);
     return () => {
-      this.awaited.delete(order);
+      this.awaited.delete(change);
     };
   }
 
-  /** Called every few ms. */
-  look(isCalm: boolean, nowMs: number): void {
-    for (const order of [...this.awaited]) {
-      if (!isCalm) order.calmSinceMs = null;
-      else order.calmSinceMs ??= nowMs;
-      const { name, boundMs, calmSinceMs } = order;
-      if (calmSinceMs === null || nowMs - calmSinceMs <= boundMs) continue;
-      this.awaited.delete(order);
+  /** Reports overdue changes; called every few ms. */
+  check(isUndisturbed: boolean, nowMs: number): void {
+    for (const change of [...this.awaited]) {
+      if (!isUndisturbed) change.undisturbedSinceMs = null;
+      else change.undisturbedSinceMs ??= nowMs;
+      const { name, boundMs, undisturbedSinceMs } = change;
+      if (undisturbedSinceMs === null || nowMs - undisturbedSinceMs <= boundMs) continue;
+      this.awaited.delete(change);
       this.onOverdue(
-        `${name} has no acknowledgement after ${Math.round(nowMs - calmSinceMs)} ms of calm`,
+        `${name} has no acknowledgement after ${Math.round(nowMs - undisturbedSinceMs)} ms of calm`,
         nowMs,
       );
     }
--- a/lab/soak/held-keys.ts
+++ b/lab/soak/held-keys.ts
@@ -1,6 +1,6 @@
 /**
- * The keys that a stand-in back end holds, granted in the answers to its heartbeats or by calls, and the keys on which
- * it works. Pure but for the clock that it is given.
+ * Tracks the keys that a stand-in back end holds, granted in the answers to its heartbeats or by calls, and the keys on
+ * which it works. Deterministic but for the clock that it is given.
  */
 import { createHash } from 'node:crypto';
 import type { GrantMode } from '../../src/directory/directory-state.js';
@@ -8,19 +8,19 @@
 import type { HeartbeatGrant, HeldRange, ReleasedRange } from '../../src/sidecar/backend-report.js';
 import type { GrantCall } from '../../platform/stand-in-wire.js';
 
-/** A range, and until when it is held, in ms. */
+/** A range, and the time in ms until which it is held. */
 export interface TimedRange extends HeldRange {
   readonly untilMs: number;
 }
 
-/** Held keys of one life of a back end. */
+/** Keys held by one incarnation of a back end. */
 export class HeldKeys {
   private held: readonly TimedRange[] = [];
-  /** Highest fences seen; a key that was let go keeps its own. */
-  private seen: readonly HeldRange[] = [];
+  /** Highest fence seen for each key, kept after the key is released. */
+  private highestFences: readonly HeldRange[] = [];
   private released: ReleasedRange[] = [];
   private readonly running = new Map<number, number>();
-  private handovers = 0;
+  private handoverCount = 0;
 
   constructor(
     private readonly id: string,
@@ -29,101 +29,104 @@
     private readonly onChange: (ranges: readonly TimedRange[]) => void,
   ) {}
 
-  /** Whether a key is held now. */
+  /** Returns whether a key is held now. */
   holds(key: number): boolean {
     const range = this.held.find(({ from, to }) => key >= from && key <= to);
     return range !== undefined && this.nowMs() < range.untilMs;
   }
 
-  /** Work on a key begins. */
+  /** Records the start of work on a key. */
   begin(key: number): void {
     this.running.set(key, (this.running.get(key) ?? 0) + 1);
   }
 
-  /** Work on a key has ended. */
+  /** Records the end of work on a key. */
   end(key: number): void {
-    const left = (this.running.get(key) ?? 1) - 1;
-    if (left > 0) this.running.set(key, left);
+    const remaining = (this.running.get(key) ?? 1) - 1;
+    if (remaining > 0) this.running.set(key, remaining);
     else this.running.delete(key);
   }
 
-  /** Whether there is work on any key of a span. */
+  /** Returns whether there is work on any key of a span. */
   worksIn({ from, to }: { readonly from: number; readonly to: number }): boolean {
     return [...this.running.keys()].some((key) => key >= from && key <= to);
   }
 
-  /** Keys that are held no more, on which work goes on. */
+  /** Returns keys that are no longer held but still worked on. */
   leaving(): HeldRange[] {
     return [...this.running.keys()]
       .filter((key) => !this.holds(key))
       .map((key) => ({ from: key, to: key, fence: 0 }));
   }
 
-  // ---- granted in the answers to heartbeats
+  // ---- grants in the answers to heartbeats
 
-  /** What a heartbeat tells: what is held or still worked on, and what was let go since the last one. */
+  /** Returns the key report of a heartbeat: keys held or still worked on, and keys released since the last answer. */
   report(): { readonly holds: readonly HeldRange[] | null; readonly released: readonly ReleasedRange[] } {
     if (this.grantMode() !== 'heartbeat') return { holds: null, released: [] };
-    this.forgetExpired();
+    this.discardExpired();
     const holds = this.held.map(({ from, to, fence }) => ({ from, to, fence }));
     return { holds: [...holds, ...this.leaving()], released: this.released };
   }
 
-  /** Takes the answer to a heartbeat; null renews nothing. Rows under a fence that is not the highest seen are left. */
+  /** Applies the answer to a heartbeat; null renews nothing. Ignores rows whose fence is lower than the highest seen. */
   takeAnswer(grant: HeartbeatGrant | null, sentMs: number): void {
     this.released = [];
     if (grant === null || this.grantMode() !== 'heartbeat') return;
     const untilMs = sentMs + grant.holdMs;
-    const rows = grant.ranges.filter((range) => this.mayTake(range));
-    let letGo = this.held;
-    for (const row of rows) letGo = letGo.flatMap((range) => subtractSpan(range, row));
-    for (const { from, to } of letGo) this.released.push({ from, to, handover: this.nextHandover() });
+    const rows = grant.ranges.filter((range) => this.isNotFenced(range));
+    let removed = this.held;
+    for (const row of rows) removed = removed.flatMap((range) => subtractSpan(range, row));
+    for (const { from, to } of removed) this.released.push({ from, to, handover: this.nextHandover() });
     this.held = rows.map(({ from, to, fence }) => ({ from, to, fence, untilMs }));
-    for (const row of rows) this.noteSeen(row);
-    this.tell();
+    for (const row of rows) this.recordFence(row);
+    this.notifyChange();
   }
 
-  // ---- granted by calls
+  // ---- grants by calls
 
-  /** Takes a grant; false when a higher fence was seen on any of its keys, whether or not they are still held. */
+  /** Applies a grant; returns false if a higher fence was seen on any of its keys, whether or not they are still held. */
   grant({ from, to, fence, holdMs }: GrantCall): boolean {
     const granted = { from, to, fence, untilMs: this.nowMs() + holdMs };
-    if (!this.mayTake(granted)) return false;
+    if (!this.isNotFenced(granted)) return false;
     this.held = [...this.held.flatMap((range) => subtractSpan(range, granted)), granted];
-    this.noteSeen(granted);
-    this.tell();
+    this.recordFence(granted);
+    this.notifyChange();
     return true;
   }
 
-  /** Holds a span no more; what runs on it goes on. */
+  /** Releases a span; work in progress on it continues. */
   release(call: GrantCall): void {
     this.held = this.held.flatMap((range) => subtractSpan(range, call));
-    this.tell();
+    this.notifyChange();
   }
 
-  /** A handover that no other release has. */
+  /** Returns a handover id that no other release has. */
   nextHandover(): string {
-    this.handovers += 1;
-    return createHash('sha256').update(`${this.id} ${this.handovers}`).digest('hex').slice(0, 16);
+    this.handoverCount += 1;
+    return createHash('sha256').update(`${this.id} ${this.handoverCount}`).digest('hex').slice(0, 16);
   }
 
-  private mayTake(range: HeldRange): boolean {
-    return !this.seen.some((other) => other.fence > range.fence && overlaps(other, range));
+  private isNotFenced(range: HeldRange): boolean {
+    return !this.highestFences.some((other) => other.fence > range.fence && overlaps(other, range));
   }
 
-  private noteSeen({ from, to, fence }: HeldRange): void {
-    this.seen = [...this.seen.flatMap((range) => subtractSpan(range, { from, to })), { from, to, fence }];
+  private recordFence({ from, to, fence }: HeldRange): void {
+    this.highestFences = [
+      ...this.highestFences.flatMap((range) => subtractSpan(range, { from, to })),
+      { from, to, fence },
+    ];
   }
 
-  private forgetExpired(): void {
+  private discardExpired(): void {
     const nowMs = this.nowMs();
-    const standing = this.held.filter(({ untilMs }) => nowMs < untilMs);
-    if (standing.length === this.held.length) return;
-    this.held = standing;
-    this.tell();
+    const remaining = this.held.filter(({ untilMs }) => nowMs < untilMs);
+    if (remaining.length === this.held.length) return;
+    this.held = remaining;
+    this.notifyChange();
   }
 
-  private tell(): void {
+  private notifyChange(): void {
     this.onChange(this.held);
   }
 }
--- a/lab/soak/soak-backend.ts
+++ b/lab/soak/soak-backend.ts
@@ -1,6 +1,6 @@
 /**
- * A back end of a soak: it holds keys under fences, runs requests within its slots, tells about itself in heartbeats,
- * and tells the judge what it does. At times it loses an answer, cuts one short or sends a second one.
+ * A back end of a soak: holds keys under fences, runs requests within its slots, reports its state in heartbeats, and
+ * reports its actions to the judge. On request it loses an answer, cuts one short or sends a second one.
  */
 import { createHash } from 'node:crypto';
 import { createServer, request as httpRequest, type IncomingMessage, type ServerResponse } from 'node:http';
@@ -24,87 +24,87 @@
 import { HeldKeys } from './held-keys.js';
 import type { SoakJudge } from './soak-judge.js';
 
-/** Requests that a back end runs at once, and how many more wait for a slot. */
+/** Requests that a back end runs concurrently, and requests that wait for a slot. */
 const SLOTS = 6;
-const QUEUE = 12;
+const QUEUE_CAPACITY = 12;
 
-/** Mean time of a request, in ms. */
+/** Mean duration of a request, in ms. */
 const WORK_MS = 30;
 
-/** Pause between heartbeats, in ms, and until the next one while keys are to be let go. */
+/** Interval of heartbeats in ms, and interval while keys are being released. */
 const HEARTBEAT_MS = 500;
-const HURRIED_HEARTBEAT_MS = 80;
+const RELEASING_HEARTBEAT_MS = 80;
 
-/** Pause between looks at whether work on released keys has ended, in ms. */
+/** Interval in ms between checks for the end of work on released keys. */
 const RELEASE_POLL_MS = 5;
 
-/** Requests that a cold back end may be sent in a second. */
-const MOST_WHILE_COLD =
+/** Maximum number of requests per second to a cold back end. */
+const MAX_COLD_REQUESTS_PER_S =
   STAND_IN_COLD_START.cold_per_s * STAND_IN_BOUNDS.cold_excess + STAND_IN_BOUNDS.cold_slack;
 
-/** Time in ms for an answer to a heartbeat. */
+/** Timeout of a heartbeat, in ms. */
 const HEARTBEAT_TIMEOUT_MS = 1_000;
 
-/** Time in ms for which a back end serves on after its leave was acknowledged. */
-const SERVES_ON_MS = 2_500;
+/** Time in ms for which a back end keeps serving after its leave was acknowledged. */
+const SERVING_AFTER_LEAVE_MS = 2_500;
 
-/** Time in ms after which it ends without an acknowledgement. */
-const PATIENCE_MS = 6_000;
+/** Time in ms after which a leave is no longer retried and the back end ends without an acknowledgement. */
+const ACKNOWLEDGEMENT_TIMEOUT_MS = 6_000;
 
-const STATUS = { ok: 200, notExecuted: 503, superseded: 409, misdirected: 421, lostLease: 500 } as const;
+const STATUS = { ok: 200, notRun: 503, superseded: 409, misdirected: 421, lostLease: 500 } as const;
 
-/** End of the path of requests that end every back end which runs them. */
-export const ENDING_PATH = '/ends-what-runs-it';
+/** Suffix of the path of requests that crash every back end that runs them. */
+export const CRASHING_PATH_SUFFIX = '/ends-what-runs-it';
 
-/** How a back end misbehaves: shares of the requests that it ran. */
-export interface Misbehaviour {
+/** Faults in the answers of a back end, as shares of the requests that it ran. */
+export interface AnswerFaults {
   readonly answerLost: number;
   readonly answerCut: number;
   readonly secondAnswer: number;
 }
 
-/** A back end that behaves. */
-export const WELL_BEHAVED: Misbehaviour = { answerLost: 0, answerCut: 0, secondAnswer: 0 };
+/** No faults. */
+export const NO_ANSWER_FAULTS: AnswerFaults = { answerLost: 0, answerCut: 0, secondAnswer: 0 };
 
-/** Calls that change what a back end holds: a share gets no answer, and is carried out within a time in ms. */
-export interface HeldUpCalls {
+/** Delayed grant and release calls: a share of them gets no answer and takes effect within a time in ms. */
+export interface DelayedCalls {
   readonly share: number;
-  readonly latestMs: number;
+  readonly maxDelayMs: number;
 }
 
-/** No call is held up. */
-export const NO_CALLS_HELD_UP: HeldUpCalls = { share: 0, latestMs: 0 };
+/** No delayed calls. */
+export const NO_DELAYED_CALLS: DelayedCalls = { share: 0, maxDelayMs: 0 };
 
-/** What a back end is started with. */
+/** Options of a back end. */
 export interface SoakBackendOptions {
-  /** Name that it goes by; another life may go by the same. */
+  /** Id that the back end registers under; several incarnations may share it. */
   readonly id: string;
-  /** Differs between any two lives; the judge goes by it. */
+  /** Name that is unique to the incarnation; the judge identifies back ends by it. */
   readonly life: string;
   readonly service: string;
   readonly zone: string;
   readonly keyed: boolean;
-  /** Time for which it is cold after its start, in ms. */
+  /** Time in ms for which the back end is cold after its start. */
   readonly coldMs: number;
   readonly grantMode: GrantMode;
   readonly address: SocketAddress;
-  /** Where its daemon takes heartbeats. */
+  /** Address at which the daemon receives heartbeats. */
   readonly control: SocketAddress;
   readonly judge: SoakJudge;
   readonly random: Random;
-  /** A request that ends every back end has been run. */
-  readonly onEndingRequest: () => void;
+  /** Called when a request that crashes back ends has run. */
+  readonly onCrashingRequest: () => void;
 }
 
-/** The body that answers a request; a caller knows it as well. */
+/** Returns the body of the answer to a request, which callers compute as well. */
 export function expectedBody(requestId: string, path: string): string {
   return createHash('sha256').update(`${requestId} ${path}`).digest('hex').repeat(8);
 }
 
-/** One life of a back end. */
+/** One incarnation of a back end. */
 export class SoakBackend {
-  misbehaviour = WELL_BEHAVED;
-  heldUp = NO_CALLS_HELD_UP;
+  answerFaults = NO_ANSWER_FAULTS;
+  delayedCalls = NO_DELAYED_CALLS;
   private readonly server: Server;
   private readonly keys: HeldKeys;
   private running = 0;
@@ -112,7 +112,7 @@
   private sequence = 0;
   private draining = false;
   private saidGoodbye = false;
-  private up = true;
+  private isUp = true;
   private startedMs = 0;
   private bornMs = 0;
   private timer: NodeJS.Timeout | null = null;
@@ -134,12 +134,12 @@
     this.server.keepAliveTimeout = 10_000;
   }
 
-  /** Id of this life. */
+  /** Id that the back end registers under. */
   get id(): string {
     return this.options.id;
   }
 
-  /** Listens and begins to send heartbeats. */
+  /** Starts to listen and to send heartbeats. */
   async start(): Promise<void> {
     const { host, port } = this.options.address;
     this.startedMs = performance.now();
@@ -148,12 +148,12 @@
       this.server.once('error', reject);
       this.server.listen(port, host, resolve);
     });
-    this.beatAfter(0);
+    this.scheduleHeartbeat(0);
   }
 
-  /** Ends at once, without a word. */
+  /** Ends immediately, without notice. */
   async crash(): Promise<void> {
-    this.up = false;
+    this.isUp = false;
     if (this.timer !== null) clearTimeout(this.timer);
     this.options.judge.ended(this.options.life);
     await new Promise<void>((resolve) => {
@@ -164,31 +164,31 @@
     });
   }
 
-  /** Says that it leaves, serves on for a while, and ends. */
+  /** Announces the leave, keeps serving for a while, says goodbye and ends. */
   async leave(): Promise<void> {
-    if (await this.announceLeave()) await pause(SERVES_ON_MS);
+    if (await this.announceLeave()) await pause(SERVING_AFTER_LEAVE_MS);
     await this.sayGoodbye();
     await this.crash();
   }
 
-  /** Says in its heartbeats that it leaves, until that is acknowledged; whether it was. */
+  /** Announces the leave in heartbeats until it is acknowledged; returns whether it was. */
   async announceLeave(): Promise<boolean> {
     this.draining = true;
-    const acknowledged = await this.acknowledgedWithin(PATIENCE_MS);
+    const acknowledged = await this.awaitAcknowledgement(ACKNOWLEDGEMENT_TIMEOUT_MS);
     if (acknowledged) this.options.judge.drainAcknowledged(this.options.life, performance.now());
     return acknowledged;
   }
 
-  /** Says that it leaves and sends no more heartbeats, until that is acknowledged. */
+  /** Stops the heartbeats and sends the goodbye until it is acknowledged. */
   async sayGoodbye(): Promise<void> {
     this.saidGoodbye = true;
-    const endMs = performance.now() + PATIENCE_MS;
-    while (this.up && performance.now() < endMs) {
-      if ((await this.call('DELETE', goodbyeBody(this.bornMs))) !== null) {
+    const endMs = performance.now() + ACKNOWLEDGEMENT_TIMEOUT_MS;
+    while (this.isUp && performance.now() < endMs) {
+      if ((await this.callDaemon('DELETE', goodbyeBody(this.bornMs))) !== null) {
         this.options.judge.drainAcknowledged(this.options.life, performance.now());
         return;
       }
-      await pause(HURRIED_HEARTBEAT_MS);
+      await pause(RELEASING_HEARTBEAT_MS);
     }
   }
 
@@ -198,25 +198,25 @@
 
   // ---- heartbeats
 
-  private beatAfter(ms: number): void {
+  private scheduleHeartbeat(ms: number): void {
     if (this.timer !== null) clearTimeout(this.timer);
     this.timer = setTimeout(() => {
-      void this.beat();
+      void this.sendHeartbeat();
     }, ms);
   }
 
-  private async beat(): Promise<boolean> {
-    if (!this.up || this.saidGoodbye) return false;
+  private async sendHeartbeat(): Promise<boolean> {
+    if (!this.isUp || this.saidGoodbye) return false;
     const sentMs = performance.now();
-    const answer = await this.call('PUT', this.heartbeatText());
-    if (!this.up) return false;
+    const answer = await this.callDaemon('PUT', this.nextHeartbeatBody());
+    if (!this.isUp) return false;
     if (answer !== null) this.keys.takeAnswer(readHeartbeatAnswer(answer), sentMs);
-    const hurried = this.keys.leaving().length > 0;
-    this.beatAfter(hurried ? HURRIED_HEARTBEAT_MS : HEARTBEAT_MS);
+    const releasing = this.keys.leaving().length > 0;
+    this.scheduleHeartbeat(releasing ? RELEASING_HEARTBEAT_MS : HEARTBEAT_MS);
     return answer !== null;
   }
 
-  private heartbeatText(): string {
+  private nextHeartbeatBody(): string {
     const { id, service, zone, keyed, address } = this.options;
     this.sequence += 1;
     const { holds, released } = this.keys.report();
@@ -235,7 +235,7 @@
     return heartbeatBody({ ...common, holds: keyed ? holds : null, released }, address);
   }
 
-  private async call(method: string, body: string): Promise<string | null> {
+  private async callDaemon(method: string, body: string): Promise<string | null> {
     const { host, port } = this.options.control;
     return await new Promise((resolve) => {
       const headers = { 'content-type': 'application/json', 'content-length': Buffer.byteLength(body) };
@@ -258,39 +258,39 @@
     });
   }
 
-  private async acknowledgedWithin(ms: number): Promise<boolean> {
+  private async awaitAcknowledgement(ms: number): Promise<boolean> {
     const endMs = performance.now() + ms;
-    while (this.up && performance.now() < endMs) {
-      if (await this.beat()) return true;
-      await pause(HURRIED_HEARTBEAT_MS);
+    while (this.isUp && performance.now() < endMs) {
+      if (await this.sendHeartbeat()) return true;
+      await pause(RELEASING_HEARTBEAT_MS);
     }
     return false;
   }
 
-  // ---- keys that are granted by calls
+  // ---- key grants by calls
 
-  private takeGrant(body: string, response: ServerResponse): void {
-    const taken = this.keys.grant(readGrantCall(body));
-    answerPlain(response, taken ? STATUS.ok : STATUS.superseded);
+  private handleGrant(body: string, response: ServerResponse): void {
+    const accepted = this.keys.grant(readGrantCall(body));
+    answerPlain(response, accepted ? STATUS.ok : STATUS.superseded);
   }
 
-  private async takeRelease(body: string, response: ServerResponse): Promise<void> {
+  private async handleRelease(body: string, response: ServerResponse): Promise<void> {
     const call = readGrantCall(body);
     this.keys.release(call);
-    while (this.up && this.keys.worksIn(call)) await pause(RELEASE_POLL_MS);
+    while (this.isUp && this.keys.worksIn(call)) await pause(RELEASE_POLL_MS);
     response.writeHead(STATUS.ok, { ...releaseHeaders(this.keys.nextHandover()), 'content-length': 0 });
     response.end();
   }
 
-  /** Carries a call out late, whatever has become of its sender; it gets no answer. */
-  private holdUp(path: string, body: string): void {
+  /** Applies a call late, even if its sender has ended meanwhile, and does not answer it. */
+  private delayCall(path: string, body: string): void {
     const call = readGrantCall(body);
-    const lateMs = this.options.random.fraction() * this.heldUp.latestMs;
+    const delayMs = this.options.random.fraction() * this.delayedCalls.maxDelayMs;
     setTimeout(() => {
-      if (!this.up) return;
+      if (!this.isUp) return;
       if (path === PATHS.grant) this.keys.grant(call);
       else this.keys.release(call);
-    }, lateMs);
+    }, delayMs);
   }
 
   // ---- requests
@@ -299,48 +299,49 @@
     request.on('error', () => undefined);
     response.on('error', () => undefined);
     const body = await readBody(request);
-    if (body === null || !this.up) return;
+    if (body === null || !this.isUp) return;
     const path = request.url ?? '/';
-    const isOrder = path === PATHS.grant || path === PATHS.release;
-    if (isOrder && this.isMisdirected(request)) answerPlain(response, STATUS.misdirected);
-    else if (isOrder && this.options.random.fraction() < this.heldUp.share) this.holdUp(path, body);
-    else if (path === PATHS.grant) this.takeGrant(body, response);
-    else if (path === PATHS.release) await this.takeRelease(body, response);
+    const isKeyCall = path === PATHS.grant || path === PATHS.release;
+    if (isKeyCall && this.isMisdirected(request)) answerPlain(response, STATUS.misdirected);
+    else if (isKeyCall && this.options.random.fraction() < this.delayedCalls.share)
+      this.delayCall(path, body);
+    else if (path === PATHS.grant) this.handleGrant(body, response);
+    else if (path === PATHS.release) await this.handleRelease(body, response);
     else if (path === PATHS.health) answerPlain(response, STATUS.ok, healthHeaders(this.id, this.coldLeftMs));
-    else this.takeRequest(request, response, path);
+    else this.handleRequest(request, response, path);
   }
 
-  private takeRequest(request: IncomingMessage, response: ServerResponse, path: string): void {
+  private handleRequest(request: IncomingMessage, response: ServerResponse, path: string): void {
     const requestId = headerOf(request, PLATFORM_HEADERS.requestId);
     const keyText = headerOf(request, PLATFORM_HEADERS.key);
     const key = this.options.keyed ? Number(keyText) : null;
     if (this.isMisdirected(request)) {
-      this.decline(response, requestId, STATUS.misdirected);
+      this.reject(response, requestId, STATUS.misdirected);
       return;
     }
-    this.noteArrival(performance.now());
+    this.reportArrival(performance.now());
     if (key !== null && !this.keys.holds(key)) {
-      this.decline(response, requestId, STATUS.misdirected);
+      this.reject(response, requestId, STATUS.misdirected);
       return;
     }
     const run = (): void => {
       void this.run(request, response, { requestId, path, key });
     };
     if (this.running < SLOTS) run();
-    else if (this.queue.length < QUEUE) this.queue.push(run);
-    else this.decline(response, requestId, STATUS.notExecuted);
+    else if (this.queue.length < QUEUE_CAPACITY) this.queue.push(run);
+    else this.reject(response, requestId, STATUS.notRun);
   }
 
   private isMisdirected(request: IncomingMessage): boolean {
-    const wanted = headerOf(request, PLATFORM_HEADERS.expectedInstance);
-    return wanted !== '' && wanted !== this.id;
+    const expectedId = headerOf(request, PLATFORM_HEADERS.expectedInstance);
+    return expectedId !== '' && expectedId !== this.id;
   }
 
-  private noteArrival(nowMs: number): void {
+  private reportArrival(nowMs: number): void {
     const { judge, zone, life } = this.options;
     judge.arrived(life, nowMs);
     judge.arrivedInZone(life, zone, nowMs);
-    if (this.coldLeftMs > 0) judge.arrivedCold(life, MOST_WHILE_COLD, nowMs);
+    if (this.coldLeftMs > 0) judge.arrivedCold(life, MAX_COLD_REQUESTS_PER_S, nowMs);
   }
 
   private async run(
@@ -351,34 +352,34 @@
     const { judge, random, service } = this.options;
     const { requestId, path, key } = work;
     if (response.destroyed || (key !== null && !this.keys.holds(key))) {
-      if (!response.destroyed) this.decline(response, requestId, STATUS.misdirected);
-      this.next();
+      if (!response.destroyed) this.reject(response, requestId, STATUS.misdirected);
+      this.startNextQueued();
       return;
     }
     this.running += 1;
     if (key !== null) this.keys.begin(key);
     const repeatable = request.method === 'GET';
     judge.runStarted({ requestId, backend: this.options.life, service, key, repeatable }, performance.now());
-    if (path.endsWith(ENDING_PATH)) judge.endingRequestRun(path, performance.now());
+    if (path.endsWith(CRASHING_PATH_SUFFIX)) judge.endingRequestRun(path, performance.now());
     await pause(random.exponential(WORK_MS));
-    if (path.endsWith(ENDING_PATH) && this.up) {
+    if (path.endsWith(CRASHING_PATH_SUFFIX) && this.isUp) {
       judge.endedUnder(path, performance.now());
-      this.options.onEndingRequest();
+      this.options.onCrashingRequest();
       return;
     }
     this.running -= 1;
     if (key !== null) this.keys.end(key);
-    if (this.up) this.answer(response, requestId, path, key);
-    this.next();
+    if (this.isUp) this.answer(response, requestId, path, key);
+    this.startNextQueued();
   }
 
-  private next(): void {
+  private startNextQueued(): void {
     if (this.running < SLOTS) this.queue.shift()?.();
   }
 
   private answer(response: ServerResponse, requestId: string, path: string, key: number | null): void {
     const { random } = this.options;
-    const { answerLost, answerCut, secondAnswer } = this.misbehaviour;
+    const { answerLost, answerCut, secondAnswer } = this.answerFaults;
     const chance = random.fraction();
     if (chance < answerLost) {
       response.destroy();
@@ -401,12 +402,12 @@
     const { socket } = response;
     response.end(body);
     if (chance >= answerLost + answerCut + secondAnswer) return;
-    const again = `HTTP/1.1 200 OK\r\n${PLATFORM_HEADERS.requestId}: ${requestId}\r\n`;
+    const secondHead = `HTTP/1.1 200 OK\r\n${PLATFORM_HEADERS.requestId}: ${requestId}\r\n`;
     const seal = `${PLATFORM_HEADERS.seal}: seal-${requestId}\r\n`;
-    setTimeout(() => socket?.write(`${again}${seal}content-length: 4\r\n\r\nmore`), 1);
+    setTimeout(() => socket?.write(`${secondHead}${seal}content-length: 4\r\n\r\nmore`), 1);
   }
 
-  private decline(response: ServerResponse, requestId: string, status: number): void {
+  private reject(response: ServerResponse, requestId: string, status: number): void {
     response.writeHead(status, {
       [PLATFORM_HEADERS.requestId]: requestId,
       [PLATFORM_HEADERS.notRun]: '1',
--- a/lab/soak/soak-callers.ts
+++ b/lab/soak/soak-callers.ts
@@ -1,28 +1,28 @@
-/** Callers of a soak: an open loop of requests at every daemon that counts as ready, and what became of each. */
+/** Callers of a soak: an open loop of requests to every ready daemon, and the outcome of each. */
 import { Agent, request as httpRequest, type IncomingMessage } from 'node:http';
 import type { SocketAddress } from '../../src/model/socket-address.js';
 import { PATHS, PLATFORM_HEADERS } from '../../platform/stand-in-wire.js';
 import type { Random } from '../random.js';
-import { ENDING_PATH, expectedBody } from './soak-backend.js';
+import { CRASHING_PATH_SUFFIX, expectedBody } from './soak-backend.js';
 import type { SoakJudge } from './soak-judge.js';
 
-/** Time that a caller waits, in ms, and by how much longer it listens. */
+/** Deadline of a request in ms, and time after which a caller closes the connection. */
 const DEADLINE_MS = 2_000;
-const LISTENS_MS = 2_600;
+const SOCKET_TIMEOUT_MS = 2_600;
 
-/** Pause between looks at whether a daemon is ready, in ms; it is out after this many misses in a row. */
-const READINESS_MS = 300;
-const MISSES_LIMIT = 2;
+/** Interval of readiness checks in ms; a daemon is not ready after this many failed checks in a row. */
+const READINESS_INTERVAL_MS = 300;
+const MAX_MISSES = 2;
 
-/** Largest key, and part of the requests that go to a few keys. */
+/** Largest key, number of hot keys, and share of the requests that go to them. */
 const LAST_KEY = 65_535;
-const BUSY_KEYS = 300;
-const BUSY_SHARE = 0.6;
+const HOT_KEYS = 300;
+const HOT_KEY_SHARE = 0.6;
 
 const STATUS = { ok: 200, firstNotSuccess: 300, unknownRoute: 404 } as const;
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-/** A route that callers use. */
+/** Route that callers use. */
 export interface CalledRoute {
   readonly host: string;
   readonly prefix: string;
@@ -30,22 +30,22 @@
   readonly keyed: boolean;
 }
 
-/** A daemon that callers use. */
+/** Daemon that callers use. */
 export interface CalledDaemon {
   readonly machine: string;
   readonly callers: SocketAddress;
   readonly readiness: SocketAddress;
 }
 
-/** What callers need of the soak. */
+/** Dependencies of the callers. */
 export interface CallerPorts {
   readonly judge: SoakJudge;
   readonly random: Random;
-  /** Whether a machine is being stopped as planned and nothing else troubles the fleet since `sinceMs`. */
-  readonly stopsAsPlanned: (machine: string, sinceMs: number) => boolean;
+  /** Returns whether planned stops, one of them of this machine, are the only troubles since `sinceMs`. */
+  readonly onlyPlannedStops: (machine: string, sinceMs: number) => boolean;
 }
 
-/** Sums over all requests. */
+/** Numbers of all requests by outcome. */
 export interface CallerCounts {
   sent: number;
   answered: number;
@@ -67,22 +67,22 @@
     private readonly routes: readonly CalledRoute[],
     private readonly ports: CallerPorts,
   ) {
-    for (const { machine } of daemons) this.misses.set(machine, MISSES_LIMIT);
+    for (const { machine } of daemons) this.misses.set(machine, MAX_MISSES);
   }
 
-  /** Begins to call, so many requests a second in all. */
+  /** Starts to send `perSecond` requests a second in total. */
   start(perSecond: number): void {
     this.timers.push(
       setInterval(() => {
-        for (const daemon of this.daemons) void this.lookAtReadiness(daemon);
-      }, READINESS_MS),
+        for (const daemon of this.daemons) void this.checkReadiness(daemon);
+      }, READINESS_INTERVAL_MS),
       setInterval(() => {
         this.sendOne();
       }, 1_000 / perSecond),
     );
   }
 
-  /** Calls no more. */
+  /** Stops sending. */
   stop(): void {
     for (const timer of this.timers) clearInterval(timer);
   }
@@ -92,12 +92,12 @@
     this.agent.destroy();
   }
 
-  /** Whether a daemon counts as ready. */
+  /** Returns whether a daemon counts as ready. */
   isReady(machine: string): boolean {
-    return (this.misses.get(machine) ?? MISSES_LIMIT) < MISSES_LIMIT;
+    return (this.misses.get(machine) ?? MAX_MISSES) < MAX_MISSES;
   }
 
-  /** New connections are opened to daemons that are ready; those that are open are used until they are closed. */
+  /** Sends to ready daemons, and to others over connections that are still open. */
   private sendOne(): void {
     const usable = this.daemons.filter((daemon) => {
       return this.isReady(daemon.machine) || this.hasIdleConnection(daemon);
@@ -106,12 +106,12 @@
       void this.send(this.ports.random.pick(usable), this.ports.random.pick(this.routes));
   }
 
-  /** Sends the request that ends what runs it, at any ready daemon; its route and key follow from the choice. */
-  sendEnding(choice: number): void {
+  /** Sends a request that crashes back ends, through any ready daemon; `choice` determines its route and key. */
+  sendCrashingRequest(choice: number): void {
     const route = this.routes[choice % this.routes.length];
     const usable = this.daemons.filter(({ machine }) => this.isReady(machine));
     if (route === undefined || usable.length === 0) return;
-    const path = `${route.prefix}${choice}${ENDING_PATH}`;
+    const path = `${route.prefix}${choice}${CRASHING_PATH_SUFFIX}`;
     void this.send(this.ports.random.pick(usable), route, { path, key: choice });
   }
 
@@ -122,14 +122,14 @@
     });
   }
 
-  private async lookAtReadiness({ machine, readiness }: CalledDaemon): Promise<void> {
+  private async checkReadiness({ machine, readiness }: CalledDaemon): Promise<void> {
     const ready = await new Promise<boolean>((resolve) => {
       const { host, port } = readiness;
       const call = httpRequest({ host, port, path: PATHS.readiness, agent: false }, (answer) => {
         answer.resume();
         resolve(answer.statusCode === STATUS.ok);
       });
-      call.setTimeout(READINESS_MS, () => call.destroy());
+      call.setTimeout(READINESS_INTERVAL_MS, () => call.destroy());
       call.on('error', () => {
         resolve(false);
       });
@@ -138,31 +138,31 @@
     this.misses.set(machine, ready ? 0 : (this.misses.get(machine) ?? 0) + 1);
   }
 
-  /** Sends one request on a route to a daemon; returns its status, null without a whole answer. */
+  /** Sends one request on a route to a daemon; returns its status, or null without a complete answer. */
   async send(
     daemon: CalledDaemon,
     route: CalledRoute,
-    same: { readonly path: string; readonly key: number } | null = null,
+    fixed: { readonly path: string; readonly key: number } | null = null,
   ): Promise<number | null> {
     const { random } = this.ports;
     this.nextId += 1;
     const requestId = `s${this.seed}-${this.nextId}`;
-    const path = same?.path ?? `${route.prefix}${requestId}`;
+    const path = fixed?.path ?? `${route.prefix}${requestId}`;
     const headers: Record<string, string> = {
       host: route.host,
       [PLATFORM_HEADERS.requestId]: requestId,
       [PLATFORM_HEADERS.deadlineMs]: String(DEADLINE_MS),
     };
-    if (route.keyed) headers[PLATFORM_HEADERS.key] = String(same?.key ?? drawKey(random));
+    if (route.keyed) headers[PLATFORM_HEADERS.key] = String(fixed?.key ?? drawKey(random));
     this.counts.sent += 1;
     const sentMs = performance.now();
     const { host, port } = daemon.callers;
     const method = route.repeatable ? 'GET' : 'POST';
     return await new Promise((resolve) => {
       const call = httpRequest({ host, port, path, method, headers, agent: this.agent }, (answer) => {
-        this.take(answer, requestId, path, route, resolve);
+        this.receiveAnswer(answer, requestId, path, route, resolve);
       });
-      call.setTimeout(LISTENS_MS, () => call.destroy());
+      call.setTimeout(SOCKET_TIMEOUT_MS, () => call.destroy());
       call.on('error', () => {
         this.lost(call.reusedSocket, daemon, requestId, sentMs);
         resolve(null);
@@ -171,7 +171,7 @@
     });
   }
 
-  private take(
+  private receiveAnswer(
     answer: IncomingMessage,
     requestId: string,
     path: string,
@@ -183,14 +183,15 @@
     answer.on('data', (chunk: Buffer) => chunks.push(chunk));
     answer.on('error', () => undefined);
     answer.on('close', () => {
-      const whole = answer.complete;
-      if (whole) this.judgeAnswer(status, answer, Buffer.concat(chunks).toString(), requestId, path, route);
+      const isComplete = answer.complete;
+      if (isComplete)
+        this.checkAnswer(status, answer, Buffer.concat(chunks).toString(), requestId, path, route);
       else this.counts.failed += 1;
-      resolve(whole ? status : null);
+      resolve(isComplete ? status : null);
     });
   }
 
-  private judgeAnswer(
+  private checkAnswer(
     status: number,
     answer: IncomingMessage,
     body: string,
@@ -202,8 +203,8 @@
     const nowMs = performance.now();
     if (status >= STATUS.ok && status < STATUS.firstNotSuccess) {
       const seal = answer.headers[PLATFORM_HEADERS.seal];
-      const right = seal === `seal-${requestId}` && body === expectedBody(requestId, path);
-      if (!right) judge.wrongAnswer(requestId, `status ${status}, ${body.length} bytes`, nowMs);
+      const isExpected = seal === `seal-${requestId}` && body === expectedBody(requestId, path);
+      if (!isExpected) judge.wrongAnswer(requestId, `status ${status}, ${body.length} bytes`, nowMs);
       this.counts.answered += 1;
       return;
     }
@@ -215,16 +216,16 @@
     this.counts.failed += 1;
   }
 
-  /** A kept connection may be closed just before a request comes; one that no back end has begun was then not read. */
-  private lost(reused: boolean, { machine }: CalledDaemon, requestId: string, sentMs: number): void {
+  /** A reused connection may close just before a request arrives; unless a back end has run it, the daemon did not read it. */
+  private lost(isReused: boolean, { machine }: CalledDaemon, requestId: string, sentMs: number): void {
     this.counts.failed += 1;
-    const waitedMs = performance.now() - sentMs;
-    const unread = reused && !this.ports.judge.hasRun(requestId);
-    if (unread || waitedMs >= DEADLINE_MS || !this.ports.stopsAsPlanned(machine, sentMs)) return;
+    const elapsedMs = performance.now() - sentMs;
+    const isUnread = isReused && !this.ports.judge.hasRun(requestId);
+    if (isUnread || elapsedMs >= DEADLINE_MS || !this.ports.onlyPlannedStops(machine, sentMs)) return;
     this.ports.judge.cutByPlannedStop(requestId, machine, performance.now());
   }
 }
 
 function drawKey(random: Random): number {
-  return random.fraction() < BUSY_SHARE ? random.below(BUSY_KEYS) : random.below(LAST_KEY + 1);
+  return random.fraction() < HOT_KEY_SHARE ? random.below(HOT_KEYS) : random.below(LAST_KEY + 1);
 }
--- a/lab/soak/soak-fleet.ts
+++ b/lab/soak/soak-fleet.ts
@@ -8,11 +8,11 @@
 import { pause } from '../pause.js';
 import type { Random } from '../random.js';
 import {
-  NO_CALLS_HELD_UP,
+  NO_DELAYED_CALLS,
   SoakBackend,
-  WELL_BEHAVED,
-  type HeldUpCalls,
-  type Misbehaviour,
+  NO_ANSWER_FAULTS,
+  type DelayedCalls,
+  type AnswerFaults,
 } from './soak-backend.js';
 import type { SoakJudge } from './soak-judge.js';
 import { SoakNetwork } from './soak-network.js';
@@ -20,61 +20,61 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** Memory that a daemon may take, as its deploy file says. */
+/** Memory limits of a daemon, as in its deployment file. */
 const NODE_OPTIONS = ['--max-old-space-size=160', '--max-semi-space-size=1', '--optimize-for-size'];
 
-/** Runs the program on a clock that can stand still. */
-const SUSPENDABLE = fileURLToPath(new URL('./suspendable-program.js', import.meta.url));
+/** Module that runs the program on a clock that can be suspended. */
+const SUSPENDABLE_PROGRAM = fileURLToPath(new URL('./suspendable-program.js', import.meta.url));
 
-/** Time in ms after which a back end that a request has ended is followed by another. */
-const BACK_MS = 1_500;
+/** Time in ms after which a back end that a request crashed is restarted. */
+const CRASH_RESTART_MS = 1_500;
 
-/** Loopback networks of the soaks that may run side by side. */
+/** Number of loopback networks, for soaks that run in parallel. */
 const NETWORKS = 200;
 
-/** A process and the machine it runs on. */
+/** A machine of a soak and its daemon process. */
 export interface SoakMachine {
   readonly name: string;
   readonly ip: string;
   readonly advertisedIp: string;
   readonly process: ManagedProcess;
-  /** Null beside back ends. */
+  /** Null on machines of back ends. */
   readonly dataFolder: string | null;
-  /** Whether a trouble has it at present. */
+  /** Whether a trouble affects the machine at present. */
   troubled: boolean;
 }
 
-/** Where a fleet finds its programs and writes its files. */
-export interface SoakPlaces {
-  /** The platform's program, bundled. */
+/** Paths of the program and of the files that a fleet writes. */
+export interface SoakPaths {
+  /** Bundled program of the platform. */
   readonly program: string;
   readonly folder: string;
 }
 
-/** A fleet. */
+/** All machines of a soak. */
 export class SoakFleet {
   readonly directories: SoakMachine[] = [];
   readonly sidecars: SoakMachine[] = [];
   readonly network: SoakNetwork;
-  /** Back ends that are up, by machine. */
+  /** Latest back end of each machine. */
   readonly backends = new Map<string, SoakBackend>();
-  private readonly byIp = new Map<string, string>();
+  private readonly namesByIp = new Map<string, string>();
   private lives = 0;
   private isDown = false;
 
   constructor(
     readonly plan: SoakPlan,
-    private readonly places: SoakPlaces,
+    private readonly paths: SoakPaths,
     private readonly judge: SoakJudge,
     private readonly random: Random,
   ) {
-    this.network = new SoakNetwork((ip) => this.byIp.get(ip) ?? null);
-    mkdirSync(places.folder, { recursive: true });
+    this.network = new SoakNetwork((ip) => this.namesByIp.get(ip) ?? null);
+    mkdirSync(paths.folder, { recursive: true });
     for (const machine of plan.directories) this.directories.push(this.addMachine(machine, true));
     for (const machine of plan.sidecars) this.sidecars.push(this.addMachine(machine, false));
   }
 
-  /** Where the operator reaches the replicas. */
+  /** Addresses at which the operator reaches the replicas. */
   get operatorAddresses(): SocketAddress[] {
     return this.directories.map(({ advertisedIp }) => ({ host: advertisedIp, port: STAND_IN_PORTS.control }));
   }
@@ -92,7 +92,7 @@
     for (const machine of this.plan.sidecars) await this.startBackend(machine);
   }
 
-  /** Ends everything that was started, by its pid. */
+  /** Stops everything that was started; processes are killed by their pid. */
   async down(): Promise<void> {
     this.isDown = true;
     for (const backend of this.backends.values()) await backend.crash();
@@ -102,19 +102,19 @@
     this.network.close();
   }
 
-  /** Starts a daemon with settings written anew. */
+  /** Starts a daemon after rewriting its settings. */
   start(machine: SoakMachine, firstStart = false): void {
     writeFileSync(this.settingsFile(machine.name), this.settingsOf(machine, firstStart));
     machine.process.start();
   }
 
-  /** Starts a new life of the back end of a machine. */
+  /** Starts a new incarnation of the back end of a machine. */
   async startBackend(machine: SidecarMachine): Promise<void> {
     const ip = this.ipOf(machine.number, 0);
     this.lives += 1;
     const life = `${machine.name}-life-${this.lives}`;
     const backend: SoakBackend = new SoakBackend({
-      // Every other life goes by the id that its machine's back ends share.
+      // Every second incarnation uses the id that the back ends of its machine share.
       id: this.lives % 2 === 0 ? machine.name : life,
       life,
       service: machine.service,
@@ -126,50 +126,50 @@
       control: { host: ip, port: STAND_IN_PORTS.control },
       judge: this.judge,
       random: this.random,
-      onEndingRequest: () => void this.endBackend(machine, backend),
+      onCrashingRequest: () => void this.restartCrashedBackend(machine, backend),
     });
     await backend.start();
     this.backends.set(machine.name, backend);
   }
 
-  /** A back end has ended under a request, and is back after a while unless another has taken its place. */
-  private async endBackend(machine: SidecarMachine, backend: SoakBackend): Promise<void> {
+  /** Crashes a back end and restarts it after a delay, unless another one has replaced it. */
+  private async restartCrashedBackend(machine: SidecarMachine, backend: SoakBackend): Promise<void> {
     await backend.crash();
-    await pause(BACK_MS);
+    await pause(CRASH_RESTART_MS);
     if (!this.isDown && this.backends.get(machine.name) === backend) await this.startBackend(machine);
   }
 
-  /** Has all back ends misbehave, or behave again. */
-  misbehave(misbehaviour: Misbehaviour = WELL_BEHAVED): void {
-    for (const backend of this.backends.values()) backend.misbehaviour = misbehaviour;
+  /** Sets the answer faults of all back ends; without an argument, removes them. */
+  setAnswerFaults(faults: AnswerFaults = NO_ANSWER_FAULTS): void {
+    for (const backend of this.backends.values()) backend.answerFaults = faults;
   }
 
-  /** Has calls to all back ends be held up, or none. */
-  holdUpCalls(heldUp: HeldUpCalls = NO_CALLS_HELD_UP): void {
-    for (const backend of this.backends.values()) backend.heldUp = heldUp;
+  /** Sets the delayed calls of all back ends; without an argument, delays none. */
+  setDelayedCalls(calls: DelayedCalls = NO_DELAYED_CALLS): void {
+    for (const backend of this.backends.values()) backend.delayedCalls = calls;
   }
 
-  /** The directory that said last that it leads, or one of them. */
+  /** Returns the directory that logged leadership of the highest term, or any of them. */
   leader(): SoakMachine | undefined {
-    const named = this.directories.map((machine) => ({ machine, term: this.lastTermLed(machine.name) }));
-    return named.sort((left, right) => right.term - left.term)[0]?.machine;
+    const machines = this.directories.map((machine) => ({ machine, term: this.lastLedTerm(machine.name) }));
+    return machines.sort((left, right) => right.term - left.term)[0]?.machine;
   }
 
-  private lastTermLed(name: string): number {
+  private lastLedTerm(name: string): number {
     const lines = readFileSync(this.logFile(name), 'utf8').split('\n');
-    const led = lines.findLast((line) => line.includes('"role":"leader"'));
-    const term = /"term":(\d+)/.exec(led ?? '')?.[1];
+    const leaderLine = lines.findLast((line) => line.includes('"role":"leader"'));
+    const term = /"term":(\d+)/.exec(leaderLine ?? '')?.[1];
     return term === undefined ? -1 : Number(term);
   }
 
   private addMachine({ name, number }: DirectoryMachine, hasDisk: boolean): SoakMachine {
     const ip = this.ipOf(number, 0);
-    this.byIp.set(ip, name);
+    this.namesByIp.set(ip, name);
     const role = hasDisk ? 'directory' : 'sidecar';
     const environment = { ALDERTIDE_SETTINGS: this.settingsFile(name) };
-    const command = [...NODE_OPTIONS, SUSPENDABLE, this.places.program, role];
+    const command = [...NODE_OPTIONS, SUSPENDABLE_PROGRAM, this.paths.program, role];
     const process = new ManagedProcess(name, command, this.logFile(name), environment);
-    const dataFolder = hasDisk ? join(this.places.folder, `${name}-data`) : null;
+    const dataFolder = hasDisk ? join(this.paths.folder, `${name}-data`) : null;
     if (dataFolder !== null) mkdirSync(dataFolder, { recursive: true });
     return { name, ip, advertisedIp: this.ipOf(number, 1), process, dataFolder, troubled: false };
   }
@@ -194,16 +194,16 @@
     });
   }
 
-  /** Side 0 holds the daemons, side 1 the relays in front of them. */
+  /** Daemons use addresses of side 0, the relays in front of them those of side 1. */
   private ipOf(number: number, side: 0 | 1): string {
     return `127.${20 + side}.${1 + (this.plan.seed % NETWORKS)}.${number}`;
   }
 
   private settingsFile(name: string): string {
-    return join(this.places.folder, `${name}.toml`);
+    return join(this.paths.folder, `${name}.toml`);
   }
 
   private logFile(name: string): string {
-    return join(this.places.folder, `${name}.log`);
+    return join(this.paths.folder, `${name}.log`);
   }
 }
--- a/lab/soak/soak-judge.ts
+++ b/lab/soak/soak-judge.ts
@@ -1,13 +1,13 @@
 /**
- * Judges a soak while it runs, from what callers, back ends and the operator see on their sockets. Pure: times are
- * given in ms of one clock, and the same calls give the same verdict.
+ * Checks a soak while it runs, from what callers, back ends and the operator observe on their sockets. Deterministic: times
+ * are given in ms of one clock, and the same calls give the same verdict.
  */
 import type { HeldRange } from '../../src/sidecar/backend-report.js';
 import { overlaps } from '../../src/directory/key-ranges.js';
 import { rangeName } from '../../src/sidecar/key-grants.js';
 import type { TimedRange } from './held-keys.js';
 
-/** What must hold. */
+/** Guarantees that must hold. */
 export type SoakPromise =
   | 'at-most-once'
   | 'not-run'
@@ -24,7 +24,7 @@
   | 'contained-request'
   | 'cold-start';
 
-/** A promise that was broken. */
+/** Violation of a guarantee. */
 export interface SoakViolation {
   readonly promise: SoakPromise;
   readonly atMs: number;
@@ -33,15 +33,15 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** Time in ms for which two back ends may be seen to hold the same keys when neither begins work on them. */
+/** Maximum time in ms for which two back ends may hold the same keys if they do not both begin work on one of them. */
 const OVERLAP_LIMIT_MS = 500;
 
-/** Ends after which a request is known to end what runs it, time in ms for all to know, and runs that may follow. */
-const ENDS_THAT_TELL = 3;
-const CONTACT_MS = 3_000;
-const RUNS_ALLOWED = 3;
+/** Crashes after which a request counts as crashing back ends, time in ms until all daemons know, and runs that may follow. */
+const CRASHES_TO_DETECT = 3;
+const PROPAGATION_MS = 3_000;
+const MAX_LATER_RUNS = 3;
 
-/** A request that a back end begins to run. */
+/** Start of a run at a back end. */
 export interface RunStart {
   readonly requestId: string;
   readonly backend: string;
@@ -50,49 +50,49 @@
   readonly repeatable: boolean;
 }
 
-/** A back end that is up, and what it holds. */
-interface Holder {
+/** Ranges that a running back end holds. */
+interface Holdings {
   readonly service: string;
   readonly ranges: readonly TimedRange[];
 }
 
-/** Two back ends that hold keys together. */
+/** Two back ends that hold the same keys. */
 interface Overlap {
   readonly sinceMs: number;
   reported: boolean;
-  /** Keys that each of the two began work on since. */
+  /** Keys on which each of the two has begun work since. */
   readonly begun: Map<string, Set<number>>;
 }
 
-/** The judge. */
+/** Records what is seen and reports violations. */
 export class SoakJudge {
   readonly violations: SoakViolation[] = [];
   private readonly runs = new Map<string, number>();
   private readonly refused = new Map<string, number>();
-  private readonly holders = new Map<string, Holder>();
-  /** Highest fence seen at any back end, by service and key span as it was granted. */
+  private readonly holdings = new Map<string, Holdings>();
+  /** Every range as it was granted, with its fence and back end, by service. */
   private readonly fences = new Map<string, { backend: string; range: HeldRange }[]>();
   private readonly overlaps = new Map<string, Overlap>();
   private readonly drainedSince = new Map<string, number>();
-  /** When evacuations were acknowledged, by zone; those that were taken back are not here. */
+  /** Times of acknowledged evacuations by zone, without those that were ended. */
   private readonly evacuatedSince = new Map<string, number>();
-  /** When requests reached each cold back end in the last second. */
+  /** Times of the requests that reached each cold back end in the last second. */
   private readonly coldArrivals = new Map<string, number[]>();
-  /** Ends under requests that end what runs them, and runs of them long after the third, by path. */
-  private readonly endsUnder = new Map<string, number[]>();
-  private readonly runsAfter = new Map<string, number>();
-  /** Newest acknowledged version of each item, and when it was acknowledged. */
+  /** Times of crashes caused by crashing requests, and number of runs long after the third, by path. */
+  private readonly crashTimes = new Map<string, number[]>();
+  private readonly laterRuns = new Map<string, number>();
+  /** Newest acknowledged version of each item, and the time of its acknowledgement. */
   private readonly acknowledged = new Map<string, { version: number; atMs: number }>();
 
   constructor(
     private readonly drainMs: number,
     private readonly applyMs: number,
     private readonly evacuationMs = Infinity,
-    /** Whether nothing has been amiss for long enough that every daemon must have been reached. */
-    private readonly inTouch: () => boolean = () => true,
+    /** Whether there has been no fault for long enough that every daemon must have been reached. */
+    private readonly isSettled: () => boolean = () => true,
   ) {}
 
-  /** A back end begins to run a request. */
+  /** Records that a back end begins to run a request. */
   runStarted(run: RunStart, nowMs: number): void {
     const runs = (this.runs.get(run.requestId) ?? 0) + 1;
     this.runs.set(run.requestId, runs);
@@ -100,40 +100,40 @@
     if (!run.repeatable && this.refused.has(run.requestId)) {
       this.report('not-run', nowMs, `${run.requestId} ran at ${run.backend} after its refusal`);
     }
-    if (run.key !== null) this.judgeOwner(run.backend, run.key, nowMs);
+    if (run.key !== null) this.checkOwner(run.backend, run.key, nowMs);
   }
 
-  /** A back end has ended under a request that ends what runs it. */
+  /** Records that a crashing request has crashed a back end. */
   endedUnder(path: string, nowMs: number): void {
-    this.endsUnder.set(path, [...(this.endsUnder.get(path) ?? []), nowMs]);
+    this.crashTimes.set(path, [...(this.crashTimes.get(path) ?? []), nowMs]);
   }
 
-  /** Such a request begins to run: long after it has ended three back ends only so many more may follow. */
+  /** Records the start of a crashing request; long after its third crash at most `MAX_LATER_RUNS` runs may follow. */
   endingRequestRun(path: string, nowMs: number): void {
-    const thirdMs = this.endsUnder.get(path)?.[ENDS_THAT_TELL - 1];
-    if (thirdMs === undefined || nowMs - thirdMs <= CONTACT_MS || !this.inTouch()) return;
-    const runs = (this.runsAfter.get(path) ?? 0) + 1;
-    this.runsAfter.set(path, runs);
-    if (runs <= RUNS_ALLOWED) return;
+    const detectedMs = this.crashTimes.get(path)?.[CRASHES_TO_DETECT - 1];
+    if (detectedMs === undefined || nowMs - detectedMs <= PROPAGATION_MS || !this.isSettled()) return;
+    const runs = (this.laterRuns.get(path) ?? 0) + 1;
+    this.laterRuns.set(path, runs);
+    if (runs <= MAX_LATER_RUNS) return;
     this.report('contained-request', nowMs, `${path} ran ${runs} times long after its third end`);
   }
 
-  /** Whether a back end has begun to run a request. */
+  /** Returns whether a back end has begun to run a request. */
   hasRun(requestId: string): boolean {
     return this.runs.has(requestId);
   }
 
-  /** A request reaches a back end, whether it is run or not. */
+  /** Records that a request reaches a back end, whether or not it is run. */
   arrived(backend: string, nowMs: number): void {
     const since = this.drainedSince.get(backend);
     if (since === undefined || nowMs - since <= this.drainMs) return;
     this.report('drain', nowMs, `${backend} is sent work ${Math.round(nowMs - since)} ms after its leave`);
   }
 
-  /** A request reaches a back end of a zone. */
+  /** Records that a request reaches a back end of a zone. */
   arrivedInZone(backend: string, zone: string, nowMs: number): void {
     const since = this.evacuatedSince.get(zone) ?? Infinity;
-    if (nowMs - since <= this.evacuationMs || !this.inTouch()) return;
+    if (nowMs - since <= this.evacuationMs || !this.isSettled()) return;
     this.report(
       'evacuation',
       nowMs,
@@ -141,31 +141,31 @@
     );
   }
 
-  /** A request reaches a back end that is cold and may be sent `most` in a second. */
-  arrivedCold(backend: string, most: number, nowMs: number): void {
+  /** Records that a request reaches a cold back end, which may get `max` requests in a second. */
+  arrivedCold(backend: string, max: number, nowMs: number): void {
     const recent = (this.coldArrivals.get(backend) ?? []).filter((atMs) => atMs > nowMs - MS_PER_SECOND);
     recent.push(nowMs);
     this.coldArrivals.set(backend, recent);
-    if (recent.length > most)
+    if (recent.length > max)
       this.report('cold-start', nowMs, `${backend} is cold and got ${recent.length} requests in a second`);
   }
 
-  /** The evacuation of a zone was acknowledged. */
+  /** Records that the evacuation of a zone was acknowledged. */
   evacuationAcknowledged(zone: string, nowMs: number): void {
     this.evacuatedSince.set(zone, nowMs);
   }
 
-  /** The evacuation of a zone is about to be taken back. */
+  /** Records that the evacuation of a zone is about to be ended. */
   evacuationEnds(zone: string): void {
     this.evacuatedSince.delete(zone);
   }
 
-  /** A back end was told that its leave is known. */
+  /** Records that the leave of a back end was acknowledged. */
   drainAcknowledged(backend: string, nowMs: number): void {
     if (!this.drainedSince.has(backend)) this.drainedSince.set(backend, nowMs);
   }
 
-  /** A caller is promised that its request was not run and never will be. */
+  /** Records a refusal that guarantees that the request was not run and never will be. */
   refusedAsNotRun(requestId: string, repeatable: boolean, nowMs: number): void {
     this.refused.set(requestId, nowMs);
     if (!repeatable && this.runs.has(requestId)) {
@@ -173,41 +173,41 @@
     }
   }
 
-  /** A caller got a success that is not the whole answer to its request. */
+  /** Reports a success that is not the complete answer to its request. */
   wrongAnswer(requestId: string, detail: string, nowMs: number): void {
     this.report('whole-answer', nowMs, `${requestId}: ${detail}`);
   }
 
-  /** A planned stop closed a connection on a request that had been taken. */
+  /** Reports that a planned stop closed the connection of an accepted request. */
   cutByPlannedStop(requestId: string, machine: string, nowMs: number): void {
     this.report('planned-stop', nowMs, `${requestId} was cut when ${machine} stopped as planned`);
   }
 
-  /** What a back end holds from now on, each range until its own time. */
+  /** Replaces the ranges that a back end holds, each until its own time. */
   holds(backend: string, service: string, ranges: readonly TimedRange[], nowMs: number): void {
-    const known = this.holders.get(backend);
+    const known = this.holdings.get(backend);
     const before = known?.ranges ?? [];
-    this.holders.set(backend, { service, ranges });
+    this.holdings.set(backend, { service, ranges });
     for (const range of ranges)
-      if (!before.some((other) => isPartOf(range, other))) this.judgeFence(backend, service, range, nowMs);
+      if (!before.some((other) => isPartOf(range, other))) this.checkFence(backend, service, range, nowMs);
     this.look(nowMs);
   }
 
-  /** A back end has ended. */
+  /** Records that a back end has ended. */
   ended(backend: string): void {
-    this.holders.delete(backend);
+    this.holdings.delete(backend);
     for (const pair of this.overlaps.keys())
       if (pair.split('|').includes(backend)) this.overlaps.delete(pair);
   }
 
-  /** The operator's change of an item was acknowledged. */
+  /** Records that a change of an item was acknowledged. */
   changeAcknowledged(item: string, version: number, nowMs: number): void {
     if ((this.acknowledged.get(item)?.version ?? 0) < version) {
       this.acknowledged.set(item, { version, atMs: nowMs });
     }
   }
 
-  /** The operator read versions; the read was sent at `sentMs`. At the end of a soak nothing is excused by time. */
+  /** Checks versions that the operator read by a call sent at `sentMs`; at the end of a soak `applyMs` is not allowed for. */
   changesRead(versions: ReadonlyMap<string, number>, sentMs: number, nowMs: number, atEnd: boolean): void {
     for (const [item, { version, atMs }] of this.acknowledged) {
       const read = versions.get(item) ?? 0;
@@ -216,33 +216,33 @@
     }
   }
 
-  /** An order had no acknowledgement within its bound of calm. */
+  /** Reports a change without an acknowledgement within its bound. */
   changeOverdue(detail: string, nowMs: number): void {
     this.report('change-in-time', nowMs, detail);
   }
 
-  /** A daemon in touch refuses a route whose version was acknowledged long ago. */
+  /** Reports that a daemon, after enough time without faults, does not know a route acknowledged long ago. */
   routeUnknown(daemon: string, route: string, nowMs: number): void {
     this.report('configuration-in-force', nowMs, `${daemon} does not know ${route}`);
   }
 
-  /** Too few requests were answered after all troubles had ended. */
+  /** Reports that the fleet did not recover, for example too few answers after all troubles had ended. */
   notRecovered(detail: string, nowMs: number): void {
     this.report('recovery', nowMs, detail);
   }
 
-  /** Looks for back ends that hold keys together; called every few ms. */
+  /** Checks for back ends that hold the same keys; called every few ms. */
   look(nowMs: number): void {
-    const holders = [...this.holders];
-    holders.forEach(([left, leftHolder], at) => {
-      for (const [right, rightHolder] of holders.slice(at + 1)) {
-        if (leftHolder.service !== rightHolder.service) continue;
-        this.lookAtPair(`${left}|${right}`, leftHolder, rightHolder, nowMs);
+    const holdings = [...this.holdings];
+    holdings.forEach(([left, leftHoldings], at) => {
+      for (const [right, rightHoldings] of holdings.slice(at + 1)) {
+        if (leftHoldings.service !== rightHoldings.service) continue;
+        this.checkPair(`${left}|${right}`, leftHoldings, rightHoldings, nowMs);
       }
     });
   }
 
-  private lookAtPair(pair: string, left: Holder, right: Holder, nowMs: number): void {
+  private checkPair(pair: string, left: Holdings, right: Holdings, nowMs: number): void {
     const held = heldAt(right, nowMs);
     if (!heldAt(left, nowMs).some((range) => held.some((other) => overlaps(range, other)))) {
       this.overlaps.delete(pair);
@@ -255,7 +255,7 @@
     this.report('one-owner', nowMs, `${pair} hold the same keys for more than ${OVERLAP_LIMIT_MS} ms`);
   }
 
-  private judgeOwner(backend: string, key: number, nowMs: number): void {
+  private checkOwner(backend: string, key: number, nowMs: number): void {
     this.look(nowMs);
     for (const [pair, overlap] of this.overlaps) {
       const names = pair.split('|');
@@ -270,19 +270,19 @@
   }
 
   private holdsKey(backend: string, key: number, nowMs: number): boolean {
-    const holder = this.holders.get(backend);
-    if (holder === undefined) return false;
-    return heldAt(holder, nowMs).some(({ from, to }) => key >= from && key <= to);
+    const holdings = this.holdings.get(backend);
+    if (holdings === undefined) return false;
+    return heldAt(holdings, nowMs).some(({ from, to }) => key >= from && key <= to);
   }
 
-  /** A key is taken under a fence above every fence with which others held it. */
-  private judgeFence(backend: string, service: string, range: HeldRange, nowMs: number): void {
+  /** Checks that the fence of a new grant is above every fence under which other back ends held the keys. */
+  private checkFence(backend: string, service: string, range: HeldRange, nowMs: number): void {
     const known = this.fences.get(service) ?? [];
-    const above = known.find((other) => {
+    const conflicting = known.find((other) => {
       return other.backend !== backend && other.range.fence >= range.fence && overlaps(other.range, range);
     });
-    if (above !== undefined) {
-      const detail = `${backend} takes ${rangeName(range)} after ${above.backend} held ${rangeName(above.range)}`;
+    if (conflicting !== undefined) {
+      const detail = `${backend} takes ${rangeName(range)} after ${conflicting.backend} held ${rangeName(conflicting.range)}`;
       this.report('fence-rises', nowMs, detail);
     }
     this.fences.set(service, [...known, { backend, range }]);
@@ -293,11 +293,11 @@
   }
 }
 
-function heldAt({ ranges }: Holder, nowMs: number): readonly TimedRange[] {
+function heldAt({ ranges }: Holdings, nowMs: number): readonly TimedRange[] {
   return ranges.filter(({ untilMs }) => nowMs < untilMs);
 }
 
-/** Whether a range is what a cut has left of another one, or is that one. */
+/** Returns whether a range is part of another one under the same fence, or equal to it. */
 function isPartOf(range: HeldRange, whole: HeldRange): boolean {
   return range.fence === whole.fence && range.from >= whole.from && range.to <= whole.to;
 }
--- a/lab/soak/soak-network.ts
+++ b/lab/soak/soak-network.ts
@@ -1,12 +1,12 @@
 /**
- * The network of a soak: every port of a machine that others reach stands behind a relay on loopback. A relay knows
- * the machine that dials by its source address, so that each direction between two machines can be delayed, cut,
- * silenced or reset by itself.
+ * The network of a soak: every port of a machine that others dial is behind a relay on loopback. A relay identifies the
+ * dialling machine by its source address, so that each direction between two machines can be delayed, held, silenced or
+ * reset separately.
  */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { DelayedDirection, type DirectionState } from '../delayed-direction.js';
 
-/** Pause between looks at whether an end may be told, in ms. */
+/** Interval in ms between checks whether the end of a connection may be passed on. */
 const HELD_POLL_MS = 15;
 
 const CLEAR: DirectionState = { delayMs: 0, held: false };
@@ -16,8 +16,8 @@
   readonly from: string;
   readonly to: string;
   readonly close: (reset: boolean) => void;
-  /** Passes nothing any more, and tells neither side. */
-  readonly swallow: () => void;
+  /** Drops all further bytes without notice to either side. */
+  readonly blackhole: () => void;
 }
 
 /** All relays of a soak. */
@@ -27,7 +27,7 @@
   private readonly servers: Server[] = [];
 
   constructor(
-    /** Machine that an IP address belongs to; null for callers, the operator and back ends. */
+    /** Returns the machine of an IP address; null for callers, the operator and back ends. */
     private readonly machineOf: (ip: string) => string | null,
   ) {}
 
@@ -44,12 +44,12 @@
     });
   }
 
-  /** Sets what happens to bytes from one machine to another. */
+  /** Changes the state of the direction from one machine to another. */
   set(from: string, to: string, state: Partial<DirectionState>): void {
     this.states.set(`${from}>${to}`, { ...this.stateOf(from, to), ...state });
   }
 
-  /** Everything passes again. */
+  /** Clears the state of all directions. */
   clear(): void {
     this.states.clear();
   }
@@ -61,14 +61,14 @@
     }
   }
 
-  /** The connections of a machine that stand now carry nothing any more, for good; new ones work. */
+  /** Drops all further bytes of a machine's present connections; new connections work. */
   silence(machine: string): void {
     for (const connection of this.connections) {
-      if (connection.from === machine || connection.to === machine) connection.swallow();
+      if (connection.from === machine || connection.to === machine) connection.blackhole();
     }
   }
 
-  /** Closes everything. */
+  /** Closes all relays and connections. */
   close(): void {
     for (const server of this.servers) server.close();
     for (const connection of this.connections) connection.close(false);
@@ -86,7 +86,7 @@
     const connection: RelayedConnection = {
       from,
       to,
-      swallow: () => {
+      blackhole: () => {
         out.swallow();
         back.swallow();
       },
@@ -103,16 +103,16 @@
     this.connections.add(connection);
     for (const socket of sockets) {
       socket.setNoDelay(true);
-      // While a direction is held nobody learns of an end: the network says nothing.
-      const ended = (): void => {
-        this.endWhenClear(connection);
+      // While a direction is held, the end of a connection is not passed on either.
+      const onEnd = (): void => {
+        this.closeWhenClear(connection);
       };
-      socket.on('error', ended);
-      socket.on('close', ended);
+      socket.on('error', onEnd);
+      socket.on('close', onEnd);
     }
   }
 
-  private endWhenClear(connection: RelayedConnection): void {
+  private closeWhenClear(connection: RelayedConnection): void {
     if (!this.connections.has(connection)) return;
     const { from, to } = connection;
     if (!this.stateOf(from, to).held && !this.stateOf(to, from).held) {
@@ -120,7 +120,7 @@
       return;
     }
     setTimeout(() => {
-      this.endWhenClear(connection);
+      this.closeWhenClear(connection);
     }, HELD_POLL_MS);
   }
 }
--- a/lab/soak/soak-operator.ts
+++ b/lab/soak/soak-operator.ts
@@ -1,6 +1,6 @@
 /**
- * The operator of a soak: adds and changes routes through any replica, sends what got no clear answer again, and
- * reads back what was acknowledged.
+ * The operator of a soak: adds and changes routes through any replica, retries changes without a clear answer, and reads
+ * the acknowledged changes back.
  */
 import { request as httpRequest } from 'node:http';
 import type { SocketAddress } from '../../src/model/socket-address.js';
@@ -15,12 +15,12 @@
 import type { AwaitedChanges } from './awaited-changes.js';
 import type { SoakJudge } from './soak-judge.js';
 
-/** Time in ms for an answer, how much longer it may take by the length of the call, and pause before the next replica is asked. */
-const ANSWER_MS = 1_000;
-const ANSWER_MS_PER_CHARACTER = 0.005;
+/** Timeout of a call in ms, its addition for each character of the body, and pause before a retry at another replica. */
+const ANSWER_TIMEOUT_MS = 1_000;
+const ANSWER_TIMEOUT_MS_PER_CHARACTER = 0.005;
 const RETRY_MS = 120;
 
-/** How often a redirection is followed. */
+/** Maximum number of redirections followed. */
 const MAX_REDIRECTS = 2;
 
 const STATUS = { ok: 200, firstClientError: 400, firstServerError: 500 } as const;
@@ -31,7 +31,7 @@
   readonly location: string;
 }
 
-/** An acknowledged route, and since when. */
+/** An acknowledged route, and the time of its acknowledgement. */
 export interface AcknowledgedRoute {
   readonly route: StandInRoute;
   readonly atMs: number;
@@ -41,7 +41,7 @@
 export class SoakOperator {
   /** Newest acknowledged version of every route. */
   readonly routes = new Map<string, AcknowledgedRoute>();
-  /** Part of the acknowledgements that are lost on their way back. */
+  /** Share of the acknowledgements that are treated as lost. */
   lostShare = 0;
   changes = 0;
   private version = 1;
@@ -51,20 +51,20 @@
     private readonly replicas: readonly SocketAddress[],
     private readonly judge: SoakJudge,
     private readonly random: Random,
-    private readonly awaited: AwaitedChanges,
+    private readonly awaitedChanges: AwaitedChanges,
   ) {}
 
-  /** Sends a body until it is acknowledged; false when the operator was stopped before. */
+  /** Sends a body until it is acknowledged; returns false if the operator was stopped before. */
   async change(body: string, routes: readonly StandInRoute[]): Promise<boolean> {
-    const endWait = this.awaited.begin(`a change of ${routes[0]?.name ?? 'nothing'}`, routes.length);
-    const taken = await this.sendUntilTaken(body, endWait);
+    const endWait = this.awaitedChanges.begin(`a change of ${routes[0]?.name ?? 'nothing'}`, routes.length);
+    const acknowledged = await this.sendUntilAcknowledged(body, endWait);
     endWait();
-    if (taken) this.acknowledge(routes);
-    return taken;
+    if (acknowledged) this.acknowledge(routes);
+    return acknowledged;
   }
 
-  /** An acknowledgement that is lost on its way is one, although the change is sent again. */
-  private async sendUntilTaken(body: string, onAcknowledged: () => void): Promise<boolean> {
+  /** A lost acknowledgement ends the wait as well, although the change is sent again. */
+  private async sendUntilAcknowledged(body: string, onAcknowledged: () => void): Promise<boolean> {
     while (!this.stopped) {
       const reply = await this.call('PATCH', body);
       const lost = this.random.fraction() < this.lostShare;
@@ -72,18 +72,18 @@
       if (reply?.status === STATUS.ok && !lost) return true;
       const refused = reply !== null && reply.status >= STATUS.firstClientError;
       if (refused && reply.status < STATUS.firstServerError) {
-        throw new Error(`a proper change was refused with ${reply.status}: ${reply.body}`);
+        throw new Error(`a valid change was refused with ${reply.status}: ${reply.body}`);
       }
       await pause(RETRY_MS);
     }
     return false;
   }
 
-  /** Begins or ends the evacuation of a zone; sent until it is acknowledged. */
+  /** Begins or ends the evacuation of a zone; retries until it is acknowledged. */
   async evacuate(zone: string, evacuated: boolean): Promise<void> {
     if (!evacuated) this.judge.evacuationEnds(zone);
     const path = `${PATHS.evacuation}${encodeURIComponent(zone)}`;
-    const endWait = this.awaited.begin(`the evacuation of ${zone}`, 0);
+    const endWait = this.awaitedChanges.begin(`the evacuation of ${zone}`, 0);
     while (!this.stopped) {
       const reply = await this.call(evacuated ? 'POST' : 'DELETE', '', path);
       if (reply?.status === STATUS.ok) break;
@@ -93,19 +93,19 @@
     if (evacuated && !this.stopped) this.judge.evacuationAcknowledged(zone, performance.now());
   }
 
-  /** Changes one known route, or adds one, again and again. */
-  async keepChanging(template: StandInRoute, pauseMs: number): Promise<void> {
+  /** Adds or changes one route at a time, at random intervals. */
+  async changeRepeatedly(template: StandInRoute, pauseMs: number): Promise<void> {
     while (!this.stopped) {
       await pause(this.random.exponential(pauseMs));
       this.version += 1 + this.random.below(3);
       const name = `added-${this.random.below(6)}`;
       const route = { ...template, name, prefix: `/${name}/`, version: this.version };
-      const sent = await this.change(configurationBody([route], [], this.version), [route]);
-      if (sent) this.changes += 1;
+      const acknowledged = await this.change(configurationBody([route], [], this.version), [route]);
+      if (acknowledged) this.changes += 1;
     }
   }
 
-  /** Adds so many routes like a known one, or changes them, in one call. */
+  /** Adds or changes `count` routes like the template in one call. */
   async changeMany(template: StandInRoute, count: number): Promise<void> {
     this.version += 1;
     const routes = Array.from({ length: count }, (_, at): StandInRoute => {
@@ -115,15 +115,15 @@
     if (await this.change(configurationBody(routes, [], this.version), routes)) this.changes += 1;
   }
 
-  /** Reads at random replicas, again and again. */
-  async keepReading(pauseMs: number): Promise<void> {
+  /** Reads from random replicas, at random intervals. */
+  async readRepeatedly(pauseMs: number): Promise<void> {
     while (!this.stopped) {
       await pause(this.random.exponential(pauseMs));
       await this.read(false);
     }
   }
 
-  /** Reads once; false when no replica gave an answer. */
+  /** Reads once; returns false without a successful answer. */
   async read(atEnd: boolean): Promise<boolean> {
     const sentMs = performance.now();
     const reply = await this.call('GET', '');
@@ -132,7 +132,7 @@
     return true;
   }
 
-  /** Sends and reads no more. */
+  /** Stops sending and reading. */
   stop(): void {
     this.stopped = true;
   }
@@ -152,7 +152,7 @@
   ): Promise<Reply | null> {
     let address = this.random.pick(this.replicas);
     for (let hop = 0; hop <= MAX_REDIRECTS; hop += 1) {
-      const reply = await ask(address, method, body, path);
+      const reply = await sendCall(address, method, body, path);
       if (reply === null || reply.location === '') return reply;
       const url = new URL(reply.location);
       address = { host: url.hostname, port: Number(url.port) };
@@ -161,7 +161,7 @@
   }
 }
 
-async function ask(
+async function sendCall(
   { host, port }: SocketAddress,
   method: string,
   body: string,
@@ -180,7 +180,7 @@
         resolve({ status: answer.statusCode ?? 0, body: text, location: answer.headers.location ?? '' });
       });
     });
-    call.setTimeout(ANSWER_MS + body.length * ANSWER_MS_PER_CHARACTER, () => call.destroy());
+    call.setTimeout(ANSWER_TIMEOUT_MS + body.length * ANSWER_TIMEOUT_MS_PER_CHARACTER, () => call.destroy());
     call.on('error', () => {
       resolve(null);
     });
--- a/lab/soak/soak-run.ts
+++ b/lab/soak/soak-run.ts
@@ -1,4 +1,4 @@
-/** Plays one seed of a soak: the real programs under troubles, judged while they run. */
+/** Plays one seed of a soak: the real programs under troubles, checked while they run. */
 import { join } from 'node:path';
 import {
   configurationBody,
@@ -18,36 +18,36 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** Requests a second, over all daemons. */
+/** Requests per second over all daemons. */
 const REQUESTS_PER_SECOND = 60;
 
-/** Pauses of the operator between changes and between reads, in ms on average. */
+/** Mean pauses of the operator between changes and between reads, in ms. */
 const CHANGE_PAUSE_MS = 1_200;
 const READ_PAUSE_MS = 700;
 
-/** Time in ms for the first configuration, and for the daemons to be ready after it. */
+/** Time limits in ms for the first configuration, and for the daemons to be ready after it. */
 const FORMATION_LIMIT_MS = 20_000;
 const READY_LIMIT_MS = 15_000;
 
-/** Length of the stretch after recovery in which requests must be answered, in ms. */
-const CALM_STRETCH_MS = 3_000;
+/** Length in ms of the window after the troubles in which requests must be answered. */
+const RECOVERY_WINDOW_MS = 3_000;
 
-/** Least part of the requests that must be answered by then. */
-const LEAST_ANSWERED = 0.6;
+/** Minimum share of the requests of a window that must be answered. */
+const MIN_ANSWERED_SHARE = 0.6;
 
-/** Time in ms without trouble after which a daemon must know every acknowledged route. */
-const IN_TOUCH_MS = 6_000;
+/** Time in ms without troubles after which a daemon must know every acknowledged route. */
+const SETTLED_MS = 6_000;
 
-/** Time in ms without trouble after which the directory must acknowledge orders in time, and what each route may add. */
+/** Time in ms without troubles after which the directory must acknowledge changes in time, and addition for each route. */
 const STABLE_MS = 3_000;
 const ACKNOWLEDGEMENT_PER_ROUTE_MS = 3;
 
-const LOOK_MS = 50;
-const PROBE_MS = 900;
+const CHECK_INTERVAL_MS = 50;
+const PROBE_INTERVAL_MS = 900;
 const HOST = 'soak.example';
 const UNKNOWN_ROUTE_STATUS = 404;
 
-/** What a seed showed. */
+/** Result of one seed. */
 export interface SoakReport {
   readonly seed: number;
   readonly grantMode: string;
@@ -57,33 +57,33 @@
   readonly violations: readonly SoakViolation[];
 }
 
-/** What a seed is played with. */
+/** Options of a soak. */
 export interface SoakOptions {
   readonly seed: number;
   readonly program: string;
   readonly folder: string;
-  /** Only troubles of this kind; null for all. */
+  /** Limits the troubles to this kind; null for all. */
   readonly only: SoakTroubleKind | null;
 }
 
-/** Plays one seed. */
+/** Plays one seed and returns its report. */
 export async function runSoak(options: SoakOptions): Promise<SoakReport> {
   const plan = planSoak(options.seed, options.only);
   const random = new Random(options.seed + 1);
   const drainMs = STAND_IN_BOUNDS.drain_s * MS_PER_SECOND;
   const applyMs = STAND_IN_BOUNDS.config_apply_s * MS_PER_SECOND;
   const evacuationMs = STAND_IN_BOUNDS.evacuate_s * MS_PER_SECOND;
-  const judge = new SoakJudge(drainMs, applyMs, evacuationMs, () => troubles.calmFor(IN_TOUCH_MS));
+  const judge = new SoakJudge(drainMs, applyMs, evacuationMs, () => troubles.undisturbedFor(SETTLED_MS));
   const folder = join(options.folder, `seed-${options.seed}`);
   const fleet = new SoakFleet(plan, { program: options.program, folder }, judge, random);
-  const bound = { orderMs: STAND_IN_BOUNDS.ack_s * MS_PER_SECOND, perRouteMs: ACKNOWLEDGEMENT_PER_ROUTE_MS };
-  const awaited = new AwaitedChanges(bound, (detail, nowMs) => {
+  const bound = { baseMs: STAND_IN_BOUNDS.ack_s * MS_PER_SECOND, perRouteMs: ACKNOWLEDGEMENT_PER_ROUTE_MS };
+  const awaitedChanges = new AwaitedChanges(bound, (detail, nowMs) => {
     judge.changeOverdue(detail, nowMs);
   });
-  const operator = new SoakOperator(fleet.operatorAddresses, judge, random, awaited);
+  const operator = new SoakOperator(fleet.operatorAddresses, judge, random, awaitedChanges);
   const template = templateOf(plan);
   const troubles: SoakTroubles = new SoakTroubles(fleet, operator, template, (choice) => {
-    callers.sendEnding(choice);
+    callers.sendCrashingRequest(choice);
   });
   const callers: SoakCallers = makeCallers(plan, fleet, judge, random, troubles);
   let isFormed = false;
@@ -91,17 +91,20 @@
     setInterval(() => {
       const nowMs = performance.now();
       judge.look(nowMs);
-      awaited.look(isFormed && troubles.calmFor(STABLE_MS), nowMs);
-    }, LOOK_MS),
+      awaitedChanges.check(isFormed && troubles.undisturbedFor(STABLE_MS), nowMs);
+    }, CHECK_INTERVAL_MS),
   ];
   try {
     await fleet.up();
-    if (await firstConfiguration(plan, operator, judge)) {
+    if (await applyFirstConfiguration(plan, operator, judge)) {
       isFormed = true;
       timers.push(
-        setInterval(() => void probeRoute(fleet, operator, callers, troubles, judge, random), PROBE_MS),
+        setInterval(
+          () => void probeRoute(fleet, operator, callers, troubles, judge, random),
+          PROBE_INTERVAL_MS,
+        ),
       );
-      await play(plan, template, operator, callers, troubles, judge);
+      await playPlan(plan, template, operator, callers, troubles, judge);
     }
   } finally {
     for (const timer of timers) clearInterval(timer);
@@ -121,7 +124,7 @@
   };
 }
 
-async function play(
+async function playPlan(
   plan: SoakPlan,
   template: StandInRoute,
   operator: SoakOperator,
@@ -135,28 +138,31 @@
     READY_LIMIT_MS,
   );
   if (!allReady) judge.notRecovered('not all daemons were ready before the troubles', performance.now());
-  const background = [operator.keepChanging(template, CHANGE_PAUSE_MS), operator.keepReading(READ_PAUSE_MS)];
-  const brought = plan.troubles.map(async (trouble) => {
+  const background = [
+    operator.changeRepeatedly(template, CHANGE_PAUSE_MS),
+    operator.readRepeatedly(READ_PAUSE_MS),
+  ];
+  const injected = plan.troubles.map(async (trouble) => {
     await pause(trouble.atMs);
-    await troubles.bring(trouble);
+    await troubles.inject(trouble);
   });
-  await Promise.all([pause(plan.troubledMs), ...brought]);
-  await pause(IN_TOUCH_MS);
-  await judgeRecovery(callers, judge);
+  await Promise.all([pause(plan.troubledMs), ...injected]);
+  await pause(SETTLED_MS);
+  await checkRecovery(callers, judge);
   operator.stop();
   await Promise.all(background);
   const read = await waitForRead(operator);
   if (!read) judge.notRecovered('the configuration could not be read at the end', performance.now());
 }
 
-async function judgeRecovery(callers: SoakCallers, judge: SoakJudge): Promise<void> {
+async function checkRecovery(callers: SoakCallers, judge: SoakJudge): Promise<void> {
   const endMs = performance.now() + STAND_IN_BOUNDS.recovery_s * MS_PER_SECOND;
   for (;;) {
     const before = { ...callers.counts };
-    await pause(CALM_STRETCH_MS);
+    await pause(RECOVERY_WINDOW_MS);
     const answered = callers.counts.answered - before.answered;
     const sent = callers.counts.sent - before.sent;
-    if (sent > 0 && answered >= sent * LEAST_ANSWERED) return;
+    if (sent > 0 && answered >= sent * MIN_ANSWERED_SHARE) return;
     if (performance.now() < endMs) continue;
     judge.notRecovered(
       `${answered} of ${sent} requests were answered in the last stretch`,
@@ -174,7 +180,7 @@
   return false;
 }
 
-async function firstConfiguration(
+async function applyFirstConfiguration(
   plan: SoakPlan,
   operator: SoakOperator,
   judge: SoakJudge,
@@ -184,20 +190,20 @@
   const timer = setTimeout(() => {
     operator.stop();
   }, FORMATION_LIMIT_MS);
-  const taken = await operator.change(configurationBody(routes, services, 1), routes);
+  const acknowledged = await operator.change(configurationBody(routes, services, 1), routes);
   clearTimeout(timer);
-  if (!taken) judge.notRecovered('the first configuration was not acknowledged', performance.now());
-  return taken;
+  if (!acknowledged) judge.notRecovered('the first configuration was not acknowledged', performance.now());
+  return acknowledged;
 }
 
-/** The route that others are made like. */
+/** Returns the route that added routes are modelled on. */
 function templateOf(plan: SoakPlan): StandInRoute {
   const template = routesOf(plan)[1];
   if (template === undefined) throw new Error('invariant broken: a soak has a service');
   return template;
 }
 
-/** One route for requests that may be repeated and one for those that may not, for each service. */
+/** Returns one route for repeatable and one for non-repeatable requests of each service. */
 function routesOf(plan: SoakPlan): StandInRoute[] {
   return plan.services.flatMap(({ name }) => [
     {
@@ -237,7 +243,7 @@
   return new SoakCallers(plan.seed, daemons, routes, {
     judge,
     random,
-    stopsAsPlanned: (machine, sinceMs) => troubles.onlyStops(machine, sinceMs, quietMs),
+    onlyPlannedStops: (machine, sinceMs) => troubles.onlyPlannedStops(machine, sinceMs, quietMs),
   });
 }
 
@@ -249,7 +255,7 @@
   };
 }
 
-/** Asks one daemon for a route that was acknowledged long enough ago. */
+/** Sends a request on a route that was acknowledged long enough ago to one daemon. */
 async function probeRoute(
   fleet: SoakFleet,
   operator: SoakOperator,
@@ -259,18 +265,21 @@
   random: Random,
 ): Promise<void> {
   const applyMs = STAND_IN_BOUNDS.config_apply_s * MS_PER_SECOND;
-  const old = [...operator.routes.values()].filter(({ atMs }) => performance.now() - atMs > applyMs);
+  const settledRoutes = [...operator.routes.values()].filter(
+    ({ atMs }) => performance.now() - atMs > applyMs,
+  );
   const machine = random.pick(fleet.sidecars);
-  if (old.length === 0 || !callers.isReady(machine.name) || !troubles.calmFor(IN_TOUCH_MS)) return;
-  const { route } = random.pick(old);
+  if (settledRoutes.length === 0 || !callers.isReady(machine.name) || !troubles.undisturbedFor(SETTLED_MS))
+    return;
+  const { route } = random.pick(settledRoutes);
   const keyed = fleet.plan.services.find(({ name }) => name === route.service)?.keyed === true;
   const called = { host: route.host, prefix: route.prefix, repeatable: route.kind === 'safe', keyed };
   const status = await callers.send(calledDaemon(machine.name, machine.ip), called);
   if (status === UNKNOWN_ROUTE_STATUS) judge.routeUnknown(machine.name, route.name, performance.now());
 }
 
-async function waitFor(done: () => boolean, limitMs: number): Promise<boolean> {
+async function waitFor(isDone: () => boolean, limitMs: number): Promise<boolean> {
   const endMs = performance.now() + limitMs;
-  while (!done() && performance.now() < endMs) await pause(LOOK_MS);
-  return done();
+  while (!isDone() && performance.now() < endMs) await pause(CHECK_INTERVAL_MS);
+  return isDone();
 }
--- a/lab/soak/soak-troubles.ts
+++ b/lab/soak/soak-troubles.ts
@@ -1,4 +1,4 @@
-/** Brings about the troubles of a soak, from outside the processes: by signals, on their disks and on the network. */
+/** Injects the troubles of a soak from outside the processes: by signals, on their disks and on the network. */
 import { appendFileSync, rmSync, mkdirSync } from 'node:fs';
 import { join } from 'node:path';
 import type { SoakBackend } from './soak-backend.js';
@@ -9,66 +9,70 @@
 import { pause } from '../pause.js';
 import { Random } from '../random.js';
 
-/** Time in ms for which a directory counts as lost after it came back, so that no two are lost at once. */
+/** Time in ms for which a directory counts as lost after its restart, so that no two are lost at once. */
 const CATCH_UP_MS = 4_000;
 
 const MS_PER_SECOND = 1_000;
 
-/** Pause before a process that ended is started again, in ms. */
+/** Delay in ms before a process that ended is restarted. */
 const RESTART_MS = 300;
 
-/** Time in ms before a back end that has ended is followed by another. */
+/** Delay in ms before a back end that ended is replaced. */
 const REPLACEMENT_MS = 1_000;
 
 /** Extra delay of a slow link, in ms. */
 const SLOW_LINK_MS = 120;
 
-/** Time in ms in which silent connections must be noticed. */
-const SILENCE_NOTICED_MS = 4_500;
+/** Time in ms within which silent connections must be detected. */
+const SILENCE_DETECTED_MS = 4_500;
 
-/** Shares of spoilt answers, and of lost acknowledgements. */
+/** Shares of lost and corrupted answers, and of lost acknowledgements. */
 const LOST_ANSWERS = { answerLost: 0.1, answerCut: 0, secondAnswer: 0 };
-const SPOILT_ANSWERS = { answerLost: 0, answerCut: 0.08, secondAnswer: 0.08 };
+const CORRUPTED_ANSWERS = { answerLost: 0, answerCut: 0.08, secondAnswer: 0.08 };
 const LOST_ACKNOWLEDGEMENTS = 0.6;
 
-/** Time in ms from the acknowledgement of a leave until its daemon is struck, and for which the back end serves on. */
-const STRUCK_AFTER_LEAVE_MS = 300;
-const SERVES_ON_AFTER_STRIKE_MS = 6_000;
+/** Time in ms from the acknowledgement of a leave to the end of its daemon, and for which the back end then keeps serving. */
+const DAEMON_END_AFTER_LEAVE_MS = 300;
+const SERVING_AFTER_DAEMON_END_MS = 6_000;
 
-/** Calls that are held up: their share, and the longest time in ms. */
-const HELD_UP = { share: 0.4, latestMs: 8_000 };
+/** Delayed calls: their share, and the maximum delay in ms. */
+const DELAYED_CALLS = { share: 0.4, maxDelayMs: 8_000 };
 
-/** Shortest and longest time in ms for which a machine has no power. */
-const SHORTEST_OUTAGE_MS = 200;
-const LONGEST_OUTAGE_MS = 900;
+/** Minimum and maximum time in ms for which a machine has no power. */
+const MIN_OUTAGE_MS = 200;
+const MAX_OUTAGE_MS = 900;
 
-/** Bytes of a write that was torn. */
+/** Bytes of a torn write. */
 const TORN_BYTES = Buffer.from([0, 0, 0, 200, 1, 2, 3, 4, 5, 6, 7]);
 const LOG_FILE = 'log';
 
-/** Kinds that may strike machines of both sorts. */
-const EVERYWHERE: ReadonlySet<SoakTroubleKind> = new Set([
+/** Kinds that may affect directories as well as sidecars. */
+const ANY_MACHINE: ReadonlySet<SoakTroubleKind> = new Set([
   'cut-one-way',
   'slow-link',
   'reset-connections',
   'silence-connections',
 ]);
 
-/** Kinds that concern no machine and no link of the daemons. */
-const BESIDE_CALM: ReadonlySet<SoakTroubleKind> = new Set(['evacuate-zone', 'ending-request', 'long-change']);
+/** Kinds that disturb no machine and no link of the daemons. */
+const UNDISTURBING: ReadonlySet<SoakTroubleKind> = new Set([
+  'evacuate-zone',
+  'ending-request',
+  'long-change',
+]);
 
-/** Routes of a long change, by the choice of its trouble. */
-const FEWEST_ROUTES = 200;
-const FURTHER_ROUTES = 1_000;
+/** Minimum number of routes of a long change, and range of the number added by the trouble's choice. */
+const MIN_LONG_CHANGE_ROUTES = 200;
+const LONG_CHANGE_ROUTES_SPREAD = 1_000;
 
-/** Pause in ms between two comings of a request that ends what runs it. */
-const ENDING_EVERY_MS = 350;
+/** Interval in ms of a request that crashes back ends. */
+const CRASHING_REQUEST_INTERVAL_MS = 350;
 
-/** Time in ms in which a process takes note that its stop is a suspension, and how much longer than others it lasts. */
-const ANNOUNCED_MS = 60;
+/** Time in ms for a process to handle the signal that announces a suspension, and factor by which suspensions last longer. */
+const SUSPENSION_NOTICE_MS = 60;
 const SUSPENSION_FACTOR = 2.5;
 
-/** A trouble that was brought about. */
+/** A trouble that was injected. */
 export interface TroubleRecord {
   readonly kind: SoakTroubleKind;
   readonly target: string;
@@ -76,7 +80,7 @@
   endMs: number;
 }
 
-/** Brings troubles about. */
+/** Injects troubles and records them. */
 export class SoakTroubles {
   readonly records: TroubleRecord[] = [];
   private lostUntilMs = 0;
@@ -85,43 +89,43 @@
   constructor(
     private readonly fleet: SoakFleet,
     private readonly operator: SoakOperator,
-    /** A route that stands; what is added is like it. */
+    /** A configured route that added routes are modelled on. */
     private readonly template: StandInRoute,
-    /** Sends a request that ends every back end which runs it, the same for the same choice. */
-    private readonly sendEnding: (choice: number) => void,
+    /** Sends a request that crashes every back end that runs it; the same choice sends the same request. */
+    private readonly sendCrashingRequest: (choice: number) => void,
   ) {}
 
-  /** Brings one about; resolves when it is over. */
-  async bring(trouble: SoakTrouble): Promise<void> {
+  /** Injects a trouble; resolves when it is over. */
+  async inject(trouble: SoakTrouble): Promise<void> {
     const { kind } = trouble;
     const machine = this.targetOf(trouble);
     const record = { kind, target: machine?.name ?? 'all', atMs: performance.now(), endMs: Infinity };
-    if (machine?.troubled === true || (concernsDisks(kind) && !this.takeLoss(trouble))) return;
+    if (machine?.troubled === true || (targetsDirectories(kind) && !this.reserveLoss(trouble))) return;
     this.records.push(record);
     if (machine !== undefined) machine.troubled = true;
-    await this.carryOut(trouble, machine);
+    await this.apply(trouble, machine);
     if (machine !== undefined) machine.troubled = false;
     record.endMs = performance.now();
   }
 
-  /** Whether the stop of a machine is the only trouble since shortly before `sinceMs`. */
-  onlyStops(machine: string, sinceMs: number, quietMs: number): boolean {
+  /** Returns whether planned stops, one of them of this machine, are the only troubles since `quietMs` before `sinceMs`. */
+  onlyPlannedStops(machine: string, sinceMs: number, quietMs: number): boolean {
     const recent = this.records.filter(({ endMs }) => endMs > sinceMs - quietMs);
     const stops = recent.filter(({ kind }) => kind === 'stop-sidecar' || kind === 'stop-directory');
     return stops.some(({ target }) => target === machine) && stops.length === recent.length;
   }
 
-  /** Whether nothing has been amiss for so long; an evacuation is planned work. */
-  calmFor(ms: number): boolean {
+  /** Returns whether there has been no disturbance for `ms`; planned work such as an evacuation does not count as one. */
+  undisturbedFor(ms: number): boolean {
     const nowMs = performance.now();
-    return this.records.every(({ kind, endMs }) => BESIDE_CALM.has(kind) || endMs < nowMs - ms);
+    return this.records.every(({ kind, endMs }) => UNDISTURBING.has(kind) || endMs < nowMs - ms);
   }
 
-  /** Directories are lost one at a time, and the one before must have caught up. */
-  private takeLoss({ forMs }: SoakTrouble): boolean {
+  /** Reserves the loss of a directory; only one is lost at a time, after the previous one has caught up. */
+  private reserveLoss({ durationMs }: SoakTrouble): boolean {
     const nowMs = performance.now();
     if (nowMs < this.lostUntilMs) return false;
-    this.lostUntilMs = nowMs + forMs + RESTART_MS + CATCH_UP_MS;
+    this.lostUntilMs = nowMs + durationMs + RESTART_MS + CATCH_UP_MS;
     return true;
   }
 
@@ -129,93 +133,96 @@
     const { directories, sidecars } = this.fleet;
     if (kind.endsWith('-leader')) return this.fleet.leader();
     if (kind === 'kill-all-directories' || kind === 'lose-acknowledgements') return undefined;
-    if (kind === 'lose-answers' || kind === 'spoil-answers' || BESIDE_CALM.has(kind)) return undefined;
+    if (kind === 'lose-answers' || kind === 'spoil-answers' || UNDISTURBING.has(kind)) return undefined;
     if (kind === 'lose-all-power' || kind === 'hold-up-grants') return undefined;
-    const onDisks = concernsDisks(kind);
-    const everywhere = EVERYWHERE.has(kind);
-    const machines = everywhere ? [...directories, ...sidecars] : onDisks ? directories : sidecars;
+    const directoriesOnly = targetsDirectories(kind);
+    const anyMachine = ANY_MACHINE.has(kind);
+    const machines = anyMachine ? [...directories, ...sidecars] : directoriesOnly ? directories : sidecars;
     return machines[choice % machines.length];
   }
 
-  private async carryOut(trouble: SoakTrouble, machine: SoakMachine | undefined): Promise<void> {
-    const { kind, forMs } = trouble;
+  private async apply(trouble: SoakTrouble, machine: SoakMachine | undefined): Promise<void> {
+    const { kind, durationMs } = trouble;
     switch (kind) {
       case 'kill-all-directories':
         await Promise.all(
-          this.fleet.directories.map(async (directory) => await this.killFor(directory, RESTART_MS)),
+          this.fleet.directories.map(async (directory) => await this.killAndRestart(directory, RESTART_MS)),
         );
         return;
       case 'lose-answers':
       case 'spoil-answers':
-        this.fleet.misbehave(kind === 'lose-answers' ? LOST_ANSWERS : SPOILT_ANSWERS);
-        await pause(forMs);
-        this.fleet.misbehave();
+        this.fleet.setAnswerFaults(kind === 'lose-answers' ? LOST_ANSWERS : CORRUPTED_ANSWERS);
+        await pause(durationMs);
+        this.fleet.setAnswerFaults();
         return;
       case 'lose-all-power':
         await this.loseAllPower(trouble);
         return;
       case 'hold-up-grants':
-        this.fleet.holdUpCalls(HELD_UP);
-        await pause(forMs);
-        this.fleet.holdUpCalls();
+        this.fleet.setDelayedCalls(DELAYED_CALLS);
+        await pause(durationMs);
+        this.fleet.setDelayedCalls();
         return;
       case 'evacuate-zone':
         await this.evacuate(trouble);
         return;
       case 'ending-request':
-        this.keepSendingEnding(trouble);
+        this.repeatCrashingRequest(trouble);
         return;
       case 'long-change':
-        await this.operator.changeMany(this.template, FEWEST_ROUTES + (trouble.choice % FURTHER_ROUTES));
+        await this.operator.changeMany(
+          this.template,
+          MIN_LONG_CHANGE_ROUTES + (trouble.choice % LONG_CHANGE_ROUTES_SPREAD),
+        );
         return;
       case 'lose-acknowledgements':
         this.operator.lostShare = LOST_ACKNOWLEDGEMENTS;
-        await pause(forMs);
+        await pause(durationMs);
         this.operator.lostShare = 0;
         return;
       default:
-        if (machine !== undefined) await this.carryOutOn(machine, trouble);
+        if (machine !== undefined) await this.applyTo(machine, trouble);
     }
   }
 
-  /** Comes until the soak is over, so that the time when all is calm again tells whether it is contained. */
-  private keepSendingEnding({ choice }: SoakTrouble): void {
+  /** Repeats the request until the soak is over, so that the undisturbed phase at its end shows whether it is contained. */
+  private repeatCrashingRequest({ choice }: SoakTrouble): void {
     this.timers.push(
       setInterval(() => {
-        this.sendEnding(choice);
-      }, ENDING_EVERY_MS),
+        this.sendCrashingRequest(choice);
+      }, CRASHING_REQUEST_INTERVAL_MS),
     );
   }
 
-  /** Brings nothing about any more. */
+  /** Stops repeating requests. */
   stop(): void {
     for (const timer of this.timers.splice(0)) clearInterval(timer);
   }
 
-  /** Longer than the bound, so that there is a time in which nothing may arrive. */
-  private async evacuate({ choice, forMs }: SoakTrouble): Promise<void> {
+  /** Evacuates a zone for longer than the bound, so that there is a time in which no request may arrive. */
+  private async evacuate({ choice, durationMs }: SoakTrouble): Promise<void> {
     const zones = [...new Set(this.fleet.plan.sidecars.map(({ zone }) => zone))];
     const zone = zones[choice % zones.length];
     if (zone === undefined) return;
     await this.operator.evacuate(zone, true);
-    await pause(STAND_IN_BOUNDS.evacuate_s * MS_PER_SECOND + forMs);
+    await pause(STAND_IN_BOUNDS.evacuate_s * MS_PER_SECOND + durationMs);
     await this.operator.evacuate(zone, false);
   }
 
-  private async carryOutOn(machine: SoakMachine, { kind, forMs }: SoakTrouble): Promise<void> {
+  private async applyTo(machine: SoakMachine, { kind, durationMs }: SoakTrouble): Promise<void> {
     switch (kind) {
       case 'kill-sidecar':
       case 'kill-directory':
       case 'kill-leader':
-        await this.killFor(machine, forMs);
+        await this.killAndRestart(machine, durationMs);
         break;
       case 'wipe-directory':
-        await this.killFor(machine, forMs, () => {
+        await this.killAndRestart(machine, durationMs, () => {
           wipe(machine);
         });
         break;
       case 'tear-log':
-        await this.killFor(machine, forMs, () => {
+        await this.killAndRestart(machine, durationMs, () => {
           tearLog(machine);
         });
         break;
@@ -223,12 +230,12 @@
       case 'pause-directory':
       case 'pause-leader':
         machine.process.signal('SIGSTOP');
-        await pause(forMs);
+        await pause(durationMs);
         machine.process.signal('SIGCONT');
         break;
       case 'suspend-sidecar':
       case 'suspend-directory':
-        await suspend(machine, forMs * SUSPENSION_FACTOR);
+        await suspend(machine, durationMs * SUSPENSION_FACTOR);
         break;
       case 'stop-sidecar':
       case 'stop-directory':
@@ -243,30 +250,30 @@
       case 'leave-then-kill':
       case 'goodbye-then-kill':
       case 'leave-then-stop':
-        await this.leaveUnder(machine, kind);
+        await this.leaveAndEndDaemon(machine, kind);
         break;
       case 'reset-connections':
         this.fleet.network.reset(machine.name);
         break;
       case 'silence-connections':
         this.fleet.network.silence(machine.name);
-        await pause(SILENCE_NOTICED_MS);
+        await pause(SILENCE_DETECTED_MS);
         break;
       default:
-        await this.harmLinks(machine, kind, forMs);
+        await this.degradeLinks(machine, kind, durationMs);
     }
   }
 
-  /** Every process is killed at one moment; where no disk was lost lately, one of the directories loses its own. */
+  /** Kills every process at once; if no directory was lost recently, one of the directories also loses its disk. */
   private async loseAllPower(trouble: SoakTrouble): Promise<void> {
     const machines = [...this.fleet.directories, ...this.fleet.sidecars].filter(({ troubled }) => !troubled);
-    const wiped = this.takeLoss(trouble)
+    const wiped = this.reserveLoss(trouble)
       ? this.fleet.directories[trouble.choice % this.fleet.directories.length]
       : undefined;
     await Promise.all(
       machines.map(async (machine, at) => {
         machine.troubled = true;
-        await this.killFor(machine, outageMs(trouble.choice, at), () => {
+        await this.killAndRestart(machine, outageMs(trouble.choice, at), () => {
           if (machine === wiped) wipe(machine);
         });
         machine.troubled = false;
@@ -274,28 +281,28 @@
     );
   }
 
-  private async killFor(machine: SoakMachine, forMs: number, meanwhile?: () => void): Promise<void> {
+  private async killAndRestart(machine: SoakMachine, downMs: number, whileDown?: () => void): Promise<void> {
     await machine.process.kill();
-    meanwhile?.();
-    await pause(forMs);
+    whileDown?.();
+    await pause(downMs);
     this.fleet.start(machine);
   }
 
   private async replaceBackend(machine: SoakMachine, kind: SoakTroubleKind): Promise<void> {
     const backend = this.fleet.backends.get(machine.name);
-    const place = this.fleet.plan.sidecars.find(({ name }) => name === machine.name);
-    if (backend === undefined || place === undefined) return;
+    const sidecar = this.fleet.plan.sidecars.find(({ name }) => name === machine.name);
+    if (backend === undefined || sidecar === undefined) return;
     if (kind === 'crash-back-end') await backend.crash();
     else await backend.leave();
     await pause(REPLACEMENT_MS);
-    await this.fleet.startBackend(place);
+    await this.fleet.startBackend(sidecar);
   }
 
   /**
-   * All back ends of a service leave, so that nobody can choose another, and serve on; the daemon of one of them ends just
-   * after it has acknowledged that, and is started at once.
+   * Has all back ends of a service leave, so that no daemon can choose another, and keep serving; the daemon of one of them
+   * ends just after the acknowledgement and is restarted at once.
    */
-  private async leaveUnder(machine: SoakMachine, kind: SoakTroubleKind): Promise<void> {
+  private async leaveAndEndDaemon(machine: SoakMachine, kind: SoakTroubleKind): Promise<void> {
     const { sidecars } = this.fleet.plan;
     const service = sidecars.find(({ name }) => name === machine.name)?.service;
     const places = sidecars.filter((place) => place.service === service);
@@ -305,11 +312,11 @@
       else await backend.announceLeave();
     };
     await Promise.all(leaving.map(leave));
-    await pause(STRUCK_AFTER_LEAVE_MS);
+    await pause(DAEMON_END_AFTER_LEAVE_MS);
     if (kind === 'leave-then-stop') await machine.process.stop();
     else await machine.process.kill();
     this.fleet.start(machine);
-    await pause(SERVES_ON_AFTER_STRIKE_MS);
+    await pause(SERVING_AFTER_DAEMON_END_MS);
     await Promise.all(leaving.map(async (backend) => await backend.crash()));
     await pause(REPLACEMENT_MS);
     for (const [at, place] of places.entries()) {
@@ -317,38 +324,38 @@
     }
   }
 
-  private async harmLinks(machine: SoakMachine, kind: SoakTroubleKind, forMs: number): Promise<void> {
+  private async degradeLinks(machine: SoakMachine, kind: SoakTroubleKind, durationMs: number): Promise<void> {
     const { network, directories, sidecars } = this.fleet;
     const others = [...directories, ...sidecars].filter((other) => other !== machine);
-    const harmed = kind === 'slow-link' ? { delayMs: SLOW_LINK_MS } : { held: true };
-    const sound = { delayMs: 0, held: false };
+    const degraded = kind === 'slow-link' ? { delayMs: SLOW_LINK_MS } : { held: true };
+    const clear = { delayMs: 0, held: false };
     for (const { name } of others) {
-      network.set(machine.name, name, harmed);
-      if (kind !== 'cut-one-way') network.set(name, machine.name, harmed);
+      network.set(machine.name, name, degraded);
+      if (kind !== 'cut-one-way') network.set(name, machine.name, degraded);
     }
-    await pause(forMs);
+    await pause(durationMs);
     for (const { name } of others) {
-      network.set(machine.name, name, sound);
-      network.set(name, machine.name, sound);
+      network.set(machine.name, name, clear);
+      network.set(name, machine.name, clear);
     }
   }
 }
 
-/** Machines come back in an order that differs from trouble to trouble. */
+/** Returns the outage of a machine; the order of restarts differs between troubles. */
 function outageMs(choice: number, at: number): number {
   const random = new Random(choice + at);
-  return SHORTEST_OUTAGE_MS + random.below(LONGEST_OUTAGE_MS - SHORTEST_OUTAGE_MS);
+  return MIN_OUTAGE_MS + random.below(MAX_OUTAGE_MS - MIN_OUTAGE_MS);
 }
 
-function concernsDisks(kind: SoakTroubleKind): boolean {
+function targetsDirectories(kind: SoakTroubleKind): boolean {
   return kind.endsWith('-directory') || kind.endsWith('-leader') || kind === 'tear-log';
 }
 
-async function suspend({ process }: SoakMachine, forMs: number): Promise<void> {
+async function suspend({ process }: SoakMachine, durationMs: number): Promise<void> {
   process.signal('SIGUSR2');
-  await pause(ANNOUNCED_MS);
+  await pause(SUSPENSION_NOTICE_MS);
   process.signal('SIGSTOP');
-  await pause(forMs);
+  await pause(durationMs);
   process.signal('SIGCONT');
 }
 
@@ -358,7 +365,7 @@
   mkdirSync(dataFolder, { recursive: true });
 }
 
-/** A write that was under way when the process died: its bytes stand at the end of the log, not whole. */
+/** Appends an incomplete write to the log, as after a crash during a write. */
 function tearLog({ dataFolder }: SoakMachine): void {
   if (dataFolder !== null) appendFileSync(join(dataFolder, LOG_FILE), TORN_BYTES);
 }
--- a/lab/soak/suspendable-program.ts
+++ b/lab/soak/suspendable-program.ts
@@ -1,26 +1,26 @@
 /**
- * Runs a program whose steady clock stands still while its process is stopped, as it does on a machine that is suspended:
- * the program given first among the arguments, with the others. A stop counts as a suspension if SIGUSR2 came before it.
+ * Runs a program whose monotonic clock stops while its process is stopped, as on a suspended machine. The first argument is
+ * the program, the others are passed on to it. A stop counts as a suspension if SIGUSR2 preceded it.
  */
 import { createRequire } from 'node:module';
 import { hrtime } from 'node:process';
 
-/** Shortest time between two readings that counts as the stop that was announced, in nanoseconds. */
-const LEAST_STOP_NS = 400_000_000n;
+/** Minimum time in ns between two clock readings that counts as the announced stop. */
+const MIN_STOP_NS = 400_000_000n;
 
-const truth = hrtime.bigint.bind(hrtime);
-let lostNs = 0n;
-let lastNs = truth();
+const realClock = hrtime.bigint.bind(hrtime);
+let suspendedNs = 0n;
+let lastReadingNs = realClock();
 let announced = false;
 
 hrtime.bigint = (): bigint => {
-  const nowNs = truth();
-  if (announced && nowNs - lastNs >= LEAST_STOP_NS) {
-    lostNs += nowNs - lastNs;
+  const nowNs = realClock();
+  if (announced && nowNs - lastReadingNs >= MIN_STOP_NS) {
+    suspendedNs += nowNs - lastReadingNs;
     announced = false;
   }
-  lastNs = nowNs;
-  return nowNs - lostNs;
+  lastReadingNs = nowNs;
+  return nowNs - suspendedNs;
 };
 
 process.on('SIGUSR2', () => {
--- a/test/lab/soak/held-keys.test.ts
+++ b/test/lab/soak/held-keys.test.ts
@@ -16,7 +16,7 @@
   }
 }
 
-test('calls: a grant holds for its time, counted from when it came', (t) => {
+test('calls: a grant holds for its duration, counted from its arrival', (t) => {
   const world = new World('invoke');
   t.true(world.keys.grant({ from: 0, to: 9, fence: 1, holdMs: 100 }));
   t.true(world.keys.holds(5));
@@ -25,14 +25,14 @@
   t.false(world.keys.holds(5));
 });
 
-test('calls: a grant under a lower fence is refused, one under a higher fence takes over', (t) => {
+test('calls: a grant under a lower fence is refused, one under a higher fence is accepted', (t) => {
   const { keys } = new World('invoke');
   keys.grant({ from: 0, to: 9, fence: 5, holdMs: 100 });
   t.false(keys.grant({ from: 5, to: 20, fence: 4, holdMs: 100 }));
   t.true(keys.grant({ from: 0, to: 9, fence: 6, holdMs: 100 }));
 });
 
-test('calls: a fence that was seen is remembered when its keys were let go', (t) => {
+test('calls: the highest fence is kept after its keys were released', (t) => {
   const { keys } = new World('invoke');
   keys.grant({ from: 0, to: 9, fence: 5, holdMs: 100 });
   keys.release({ from: 0, to: 9, fence: 5, holdMs: 0 });
@@ -40,7 +40,7 @@
   t.true(keys.grant({ from: 10, to: 20, fence: 4, holdMs: 100 }));
 });
 
-test('calls: a grant of a part leaves the rest of the range held until its own end', (t) => {
+test('calls: a grant of part of a range leaves the rest held until its own expiry', (t) => {
   const world = new World('invoke');
   world.keys.grant({ from: 0, to: 9, fence: 5, holdMs: 100 });
   world.nowMs = 50;
@@ -50,7 +50,7 @@
   t.deepEqual([world.keys.holds(4), world.keys.holds(7)], [true, false]);
 });
 
-test('calls: part of a range is released, and the rest is held on', (t) => {
+test('calls: part of a range is released, and the rest stays held', (t) => {
   const { keys } = new World('invoke');
   keys.grant({ from: 0, to: 9, fence: 5, holdMs: 100 });
   keys.release({ from: 3, to: 5, fence: 5, holdMs: 0 });
@@ -60,7 +60,7 @@
   );
 });
 
-test('heartbeats: an answer grants everything that is to be held, counted from when the heartbeat was sent', (t) => {
+test('heartbeats: an answer grants all held ranges, for a duration counted from the sending of the heartbeat', (t) => {
   const world = new World('heartbeat');
   world.nowMs = 50;
   world.keys.takeAnswer({ ranges: [{ from: 0, to: 9, fence: 1, handover: '' }], holdMs: 100 }, 10);
@@ -70,7 +70,7 @@
   t.deepEqual(world.keys.report(), { holds: [], released: [] });
 });
 
-test('heartbeats: what an answer leaves out is told as released, and as held while it is worked on', (t) => {
+test('heartbeats: a range missing in an answer is reported as released, and keys still worked on as held', (t) => {
   const { keys } = new World('heartbeat');
   keys.takeAnswer({ ranges: [{ from: 0, to: 9, fence: 1, handover: '' }], holdMs: 100 }, 0);
   keys.begin(4);
@@ -82,14 +82,14 @@
   t.deepEqual(keys.report().holds, []);
 });
 
-test('heartbeats: a row under a lower fence than one that was seen is left', (t) => {
+test('heartbeats: a row under a lower fence than the highest seen is ignored', (t) => {
   const { keys } = new World('heartbeat');
   keys.takeAnswer({ ranges: [{ from: 0, to: 9, fence: 5, handover: '' }], holdMs: 100 }, 0);
   keys.takeAnswer({ ranges: [{ from: 0, to: 9, fence: 4, handover: '' }], holdMs: 100 }, 10);
   t.false(keys.holds(3));
 });
 
-test('heartbeats: an answer that renews nothing changes nothing', (t) => {
+test('heartbeats: an answer without a grant changes nothing', (t) => {
   const { keys } = new World('heartbeat');
   keys.takeAnswer({ ranges: [{ from: 0, to: 9, fence: 1, handover: '' }], holdMs: 100 }, 0);
   keys.takeAnswer(null, 50);
--- a/test/lab/soak/soak-judge.test.ts
+++ b/test/lab/soak/soak-judge.test.ts
@@ -10,10 +10,10 @@
 
 const ALL = { from: 0, to: 65_535 };
 
-/** What callers, back ends and the operator see, and which promise that breaks. */
+/** Observations of callers, back ends and the operator, and the guarantees that they violate. */
 const CASES: readonly { name: string; see: (judge: SoakJudge) => void; broken: readonly SoakPromise[] }[] = [
   {
-    name: 'a request that may not be repeated runs twice',
+    name: 'a non-repeatable request runs twice',
     see: (judge) => {
       judge.runStarted(run('r', 'a', null), 0);
       judge.runStarted(run('r', 'b', null), 10);
@@ -21,7 +21,7 @@
     broken: ['at-most-once'],
   },
   {
-    name: 'a request that may be repeated runs twice',
+    name: 'a repeatable request runs twice',
     see: (judge) => {
       judge.runStarted(run('r', 'a', null, true), 0);
       judge.runStarted(run('r', 'b', null, true), 10);
@@ -45,7 +45,7 @@
     broken: ['not-run'],
   },
   {
-    name: 'two back ends hold the same keys, and one begins work',
+    name: 'two back ends hold the same keys, and one of them begins work',
     see: (judge) => {
       judge.holds('a', 'keyed', [{ ...ALL, fence: 1, untilMs: 1_000 }], 0);
       judge.holds('b', 'keyed', [{ ...ALL, fence: 2, untilMs: 1_000 }], 100);
@@ -84,7 +84,7 @@
     broken: [],
   },
   {
-    name: 'keys are taken under a fence that is not higher',
+    name: 'keys are granted under a fence that is not higher',
     see: (judge) => {
       judge.holds('a', 'keyed', [{ ...ALL, fence: 2, untilMs: 100 }], 0);
       judge.ended('a');
@@ -93,7 +93,7 @@
     broken: ['fence-rises'],
   },
   {
-    name: 'work arrives long after a leave was acknowledged',
+    name: 'a request arrives long after a leave was acknowledged',
     see: (judge) => {
       judge.drainAcknowledged('a', 0);
       judge.arrived('a', DRAIN_MS);
@@ -138,7 +138,7 @@
   });
 }
 
-test('work is sent to an evacuated zone after the bound', (t) => {
+test('a request is sent to an evacuated zone after the bound', (t) => {
   const judge = new SoakJudge(2_000, 2_000, 5_000);
   judge.evacuationAcknowledged('z', 1_000);
   judge.arrivedInZone('a', 'z', 5_900);
@@ -151,7 +151,7 @@
   t.is(judge.violations.length, 1);
 });
 
-test('a cold back end gets more in a second than it may', (t) => {
+test('a cold back end gets more requests in a second than allowed', (t) => {
   const judge = new SoakJudge(2_000, 2_000);
   for (let at = 0; at < 20; at += 1) judge.arrivedCold('a', 20, at * 50);
   t.deepEqual(judge.violations, []);
@@ -159,7 +159,7 @@
   t.is(judge.violations[0]?.promise, 'cold-start');
 });
 
-test('a request that ends what runs it runs more than three times long after its third end', (t) => {
+test('a crashing request runs more than three times long after its third crash', (t) => {
   const judge = new SoakJudge(2_000, 2_000);
   for (const atMs of [0, 500, 1_000]) judge.endedUnder('/path', atMs);
   for (let at = 0; at < 5; at += 1) judge.endingRequestRun('/path', 1_500);
--- a/test/lab/soak/soak-network.test.ts
+++ b/test/lab/soak/soak-network.test.ts
@@ -11,7 +11,7 @@
   readonly network: SoakNetwork;
   readonly server: Server;
   readonly port: number;
-  /** What the listener has received. */
+  /** Text that the listener has received. */
   readonly received: () => string;
 }
 
@@ -51,7 +51,7 @@
   server.close();
 }
 
-test('bytes pass both ways', async (t) => {
+test('bytes pass in both directions', async (t) => {
   const world = await makeWorld();
   const socket = await dial(world.port);
   socket.write('hello');
@@ -59,7 +59,7 @@
   close(world, socket);
 });
 
-test('a direction that is held passes nothing, and everything once it is clear', async (t) => {
+test('a held direction passes nothing, and everything once it is cleared', async (t) => {
   const world = await makeWorld();
   const socket = await dial(world.port);
   world.network.set('dialer', 'listener', { held: true });
@@ -71,7 +71,7 @@
   close(world, socket);
 });
 
-test('one way can be held while the other passes', async (t) => {
+test('one direction can be held while the other passes', async (t) => {
   const world = await makeWorld();
   const socket = await dial(world.port);
   world.network.set('listener', 'dialer', { held: true });
--- a/test/lab/soak/soak-plan.test.ts
+++ b/test/lab/soak/soak-plan.test.ts
@@ -7,14 +7,14 @@
   t.deepEqual(planSoak(7), planSoak(7));
 });
 
-test('over the seeds every kind of trouble and both ways of granting come', (t) => {
+test('the plans of many seeds contain every kind of trouble and both grant modes', (t) => {
   const plans = SEEDS.map((seed) => planSoak(seed));
   const kinds = new Set(plans.flatMap(({ troubles }) => troubles.map(({ kind }) => kind)));
   t.deepEqual([...kinds].sort(), [...ALL_SOAK_TROUBLES].sort());
   t.deepEqual([...new Set(plans.map(({ grantMode }) => grantMode))].sort(), ['heartbeat', 'invoke']);
 });
 
-test('troubles begin while there is time for them, in order', (t) => {
+test('troubles are ordered by time and begin within the troubled phase', (t) => {
   for (const plan of SEEDS.map((seed) => planSoak(seed))) {
     const times = plan.troubles.map(({ atMs }) => atMs);
     t.true(times.every((atMs) => atMs >= 0 && atMs < plan.troubledMs));
@@ -25,7 +25,7 @@
   }
 });
 
-test('one kind alone can be asked for', (t) => {
+test('a plan can be limited to one kind of trouble', (t) => {
   const { troubles } = planSoak(3, 'wipe-directory');
   t.true(troubles.every(({ kind }) => kind === 'wipe-directory'));
 });
