--- a/lab/chain/chain-backend.ts
+++ b/lab/chain/chain-backend.ts
@@ -1,4 +1,4 @@
-/** A simulated back end: it works, calls the next service through the daemon beside it, and answers. */
+/** A simulated back end: works, calls the next service through its daemon, and answers. */
 import type { RequestHead } from '../../src/link/link-messages.js';
 import type { BackendClient, PreparedRun } from '../../src/sidecar/backend-client.js';
 import type { RunPorts } from '../../src/sidecar/backend-run.js';
@@ -9,27 +9,27 @@
 import type { ChainCalls, ChainSpec, WorkSpec } from './chain-spec.js';
 import type { ChainTime } from './chain-time.js';
 
-/** Speeds of back ends; each draws one. */
+/** Speed factors of back ends; each back end draws one. */
 const SPEEDS = [0.75, 1, 1.25] as const;
 
-/** Parts of the mean between which work is drawn. */
-const LEAST_WORK = 0.5;
-const WORK_SPREAD = 1;
+/** Minimum and spread of the random factor of the mean work. */
+const MIN_WORK_FACTOR = 0.5;
+const WORK_FACTOR_SPREAD = 1;
 
 const SUCCESS_STATUS = 200;
 const FAILURE_STATUS = 500;
 
-/** What a back end needs of its world. */
+/** Dependencies of a back end. */
 export interface ChainBackendPorts {
   readonly spec: ChainSpec;
   readonly time: ChainTime;
   readonly random: Random;
   readonly report: ChainReport;
-  /** The daemon beside it, which takes its calls. */
+  /** The daemon that accepts its calls. */
   readonly daemon: ChainDaemon;
 }
 
-/** A back end. */
+/** A simulated back end that answers requests after the work and the calls of its service. */
 export class ChainBackend implements BackendClient {
   readonly opened = 0;
   private readonly speed: number;
@@ -55,9 +55,9 @@
   }
 }
 
-/** One request at a back end. It keeps its place while it calls. */
+/** One request at a back end; it occupies its slot while it calls the next service. */
 class ChainRun implements PreparedRun {
-  private readonly endsMs: number;
+  private readonly expiresAtMs: number;
   private ended = false;
 
   constructor(
@@ -67,17 +67,17 @@
     leftMs: number,
     private readonly run: RunPorts,
   ) {
-    this.endsMs = ports.time.queue.nowMs + leftMs;
+    this.expiresAtMs = ports.time.queue.nowMs + leftMs;
   }
 
   /** See `PreparedRun`. */
   start(): void {
     const { time, random } = this.ports;
-    time.runtime.after(this.endsMs - time.queue.nowMs, () => {
-      this.timeUp();
+    time.runtime.after(this.expiresAtMs - time.queue.nowMs, () => {
+      this.expire();
     });
     const { workMs, calls } = this.work;
-    const ms = (workMs * (LEAST_WORK + WORK_SPREAD * random.fraction())) / this.speed;
+    const ms = (workMs * (MIN_WORK_FACTOR + WORK_FACTOR_SPREAD * random.fraction())) / this.speed;
     time.runtime.after(ms, () => {
       this.callNext(calls !== null && random.fraction() < calls.share ? calls : null, 0);
     });
@@ -88,22 +88,22 @@
     this.ended = true;
   }
 
-  private callNext(calls: ChainCalls | null, made: number): void {
+  private callNext(calls: ChainCalls | null, callsMade: number): void {
     if (this.ended) return;
-    if (calls === null || made === calls.times) {
+    if (calls === null || callsMade === calls.callsPerRun) {
       this.answer(SUCCESS_STATUS);
       return;
     }
     const { spec, time, daemon } = this.ports;
-    const deadlineMs = Math.min(spec.call.deadlineMs, this.endsMs - time.queue.nowMs);
-    daemon.callersRequest(
+    const deadlineMs = Math.min(spec.call.deadlineMs, this.expiresAtMs - time.queue.nowMs);
+    daemon.acceptRequest(
       { path: callPath(calls.service), deadlineMs },
       {
         onAnswer: (statusCode) => {
-          if (statusCode === SUCCESS_STATUS) this.callNext(calls, made + 1);
+          if (statusCode === SUCCESS_STATUS) this.callNext(calls, callsMade + 1);
           else this.answer(FAILURE_STATUS);
         },
-        onGivenUp: () => {
+        onUnanswered: () => {
           this.answer(FAILURE_STATUS);
         },
       },
@@ -129,7 +129,7 @@
     this.run.reply.answer(head, Buffer.alloc(0));
   }
 
-  private timeUp(): void {
+  private expire(): void {
     if (this.ended) return;
     this.ended = true;
     this.ports.report.badRuns += 1;
--- a/lab/chain/chain-daemon.ts
+++ b/lab/chain/chain-daemon.ts
@@ -1,4 +1,4 @@
-/** One daemon of a simulated chain, with the real decisions of a sidecar, and the back end beside it. */
+/** One daemon of a simulated chain, which uses the real decisions of a sidecar, and its back end. */
 import { LAST_KEY, type BackendInstance } from '../../src/directory/directory-state.js';
 import type { Link, LinkRequest, RequestHandlers } from '../../src/link/link-client.js';
 import type { RequestHead } from '../../src/link/link-messages.js';
@@ -21,17 +21,17 @@
 import type { Random } from '../random.js';
 import { ChainBackend } from './chain-backend.js';
 import type { ChainReport } from './chain-report.js';
-import { CHAIN_HOST, type ChainPlace, type ChainSettings } from './chain-settings.js';
+import { CHAIN_HOST, type ChainMachine, type ChainSettings } from './chain-settings.js';
 import type { ChainSpec } from './chain-spec.js';
 import type { ChainTime } from './chain-time.js';
 
-/** Retries that all daemons together may make: a part of the requests, and a fixed number in a window. */
+/** Retry budget of all daemons together: a ratio of the requests, and a fixed number per window. */
 const RETRY_BUDGET = { ratio: 0.2, extra: 60, windowMs: 10_000 };
 
-/** Bytes that links carry in a ms: 1 Gbit/s. */
+/** Link bandwidth in bytes per ms: 1 Gbit/s. */
 const LINK_BYTES_PER_MS = 125_000;
 
-/** The world as a daemon sees it. */
+/** Dependencies of a daemon. */
 export interface ChainDaemonPorts {
   readonly spec: ChainSpec;
   readonly time: ChainTime;
@@ -41,19 +41,19 @@
   readonly report: ChainReport;
 }
 
-/** A request to a daemon, of a caller or of the back end beside it. */
+/** A request to a daemon, from a caller or from its back end. */
 export interface ChainRequest {
   readonly path: string;
   readonly deadlineMs: number;
 }
 
-/** What becomes of it; one of the two. */
+/** Callbacks for the outcome of a request; exactly one of them is called. */
 export interface ChainRequestHandlers {
   onAnswer(statusCode: number): void;
-  onGivenUp(outcome: UnansweredOutcome): void;
+  onUnanswered(outcome: UnansweredOutcome): void;
 }
 
-/** A daemon. */
+/** A daemon of the chain. */
 export class ChainDaemon {
   readonly gateway: BackendGateway;
   private readonly table = new DirectoryTable();
@@ -64,11 +64,11 @@
   private readonly chooser: BackendChooser;
   private readonly prober: BackendProber;
   private readonly intake: RequestIntake;
-  /** Until when this daemon's processor is taken, in ms. */
+  /** Time in ms until which the processor of this daemon is busy. */
   private busyUntilMs = 0;
 
   constructor(
-    readonly place: ChainPlace,
+    readonly place: ChainMachine,
     private readonly ports: ChainDaemonPorts,
   ) {
     const { time, random, settings, report } = ports;
@@ -101,14 +101,14 @@
     this.gateway.setSlots(place.slots);
   }
 
-  /** Takes a request of a caller, or a call of the back end beside this daemon. */
-  callersRequest(request: ChainRequest, handlers: ChainRequestHandlers): void {
+  /** Handles a request of a caller, or a call of this daemon's back end. */
+  acceptRequest(request: ChainRequest, handlers: ChainRequestHandlers): void {
     this.handle(() => {
-      this.take(request, handlers);
+      this.forward(request, handlers);
     });
   }
 
-  private take({ path, deadlineMs }: ChainRequest, handlers: ChainRequestHandlers): void {
+  private forward({ path, deadlineMs }: ChainRequest, handlers: ChainRequestHandlers): void {
     this.ports.report.requests += 1;
     const prepared = this.intake.prepare({
       method: 'POST',
@@ -132,20 +132,20 @@
       end: () => undefined,
       abort: () => undefined,
       fail: (outcome) => {
-        handlers.onGivenUp(outcome);
+        handlers.onUnanswered(outcome);
       },
     };
     new ForwardedRequest(prepared, sink, this.forwarderPorts(), this.counters).start();
   }
 
-  /** Does what a message asks for once this daemon's processor is free. */
+  /** Processes a message once the processor of this daemon is free. */
   private handle(work: () => void): void {
     const { time, spec } = this.ports;
     this.busyUntilMs = Math.max(this.busyUntilMs, time.queue.nowMs) + spec.messageMs;
     time.queue.at(this.busyUntilMs, work);
   }
 
-  /** Sends something to another daemon. */
+  /** Sends a message to another daemon, which then runs `work`. */
   private transmit(to: ChainDaemon, work: () => void): void {
     const { time, spec, report } = this.ports;
     const sameDaemon = to === this;
@@ -156,11 +156,11 @@
   }
 
   private sendProbe({ id }: BackendInstance): void {
-    const other = this.daemon(id);
-    this.transmit(other, () => {
-      const status = other.gateway.status();
+    const target = this.daemon(id);
+    this.transmit(target, () => {
+      const status = target.gateway.status();
       if (status === null) return;
-      other.transmit(this, () => {
+      target.transmit(this, () => {
         this.viewOf(id).recordStatus(status, this.ports.time.queue.nowMs);
         this.prober.answered(id);
       });
@@ -168,25 +168,25 @@
   }
 
   private send(id: string, head: RequestHead, body: Buffer, handlers: RequestHandlers): LinkRequest {
-    const other = this.daemon(id);
+    const target = this.daemon(id);
     let cancelled = false;
     let accepted: AcceptedRequest | null = null;
-    const back = (deliver: () => void): void => {
-      other.transmit(this, () => {
+    const sendBack = (deliver: () => void): void => {
+      target.transmit(this, () => {
         if (!cancelled) deliver();
       });
     };
-    const reply = makeReply(handlers, back, () => (this.ports.report.refusals += 1));
-    this.transmit(other, () => {
-      if (!cancelled) accepted = other.gateway.accept(head, body, reply);
+    const reply = makeReply(handlers, sendBack, () => (this.ports.report.refusals += 1));
+    this.transmit(target, () => {
+      if (!cancelled) accepted = target.gateway.accept(head, body, reply);
     });
     return {
       cancel: () => {
         cancelled = true;
-        this.transmit(other, () => accepted?.cancel());
+        this.transmit(target, () => accepted?.cancel());
       },
       withdraw: () => {
-        this.transmit(other, () => accepted?.withdraw());
+        this.transmit(target, () => accepted?.withdraw());
       },
     };
   }
@@ -264,26 +264,26 @@
   }
 }
 
-/** Answers of a gateway, on their way back to the daemon that asked. */
+/** Returns a reply that sends the answers of a gateway back to the requesting daemon. */
 function makeReply(
   handlers: RequestHandlers,
-  back: (deliver: () => void) => void,
-  noteRefusal: () => void,
+  sendBack: (deliver: () => void) => void,
+  recordRefusal: () => void,
 ): RequestReply {
   return {
     refuse: (head) => {
-      noteRefusal();
-      back(() => {
+      recordRefusal();
+      sendBack(() => {
         handlers.onRefusal(head);
       });
     },
     fail: (head) => {
-      back(() => {
+      sendBack(() => {
         handlers.onFailure(head);
       });
     },
     answer: (head, body) => {
-      back(() => {
+      sendBack(() => {
         handlers.onAnswer(head, body);
       });
     },
--- a/lab/chain/chain-report.ts
+++ b/lab/chain/chain-report.ts
@@ -1,4 +1,4 @@
-/** What a play of a chain came to. */
+/** Report of the simulation of a chain. */
 import type { ChainSpec } from './chain-spec.js';
 
 /** Length of a window of the report, in ms. */
@@ -7,20 +7,20 @@
 /** How a caller's request ended. */
 export type CallerOutcome = 'in-time' | 'late' | 'refused' | 'failed';
 
-/** Requests of callers that began in one window, by how they ended. */
+/** Numbers of callers' requests by outcome. */
 export type WindowCounts = Record<CallerOutcome, number>;
 
-/** Figures of one play. */
+/** Counts of one simulation, by window and by service. */
 export class ChainReport {
   readonly windows: readonly WindowCounts[];
-  /** By service. */
+  /** Counts by service. */
   readonly services = new Map<string, WindowCounts>();
-  /** Messages between daemons. */
+  /** Number of messages between daemons. */
   messages = 0;
-  /** Runs that ended well, and runs that ended badly since a call did. */
+  /** Runs that succeeded, and runs that failed because a call failed or the deadline passed. */
   goodRuns = 0;
   badRuns = 0;
-  /** Requests of callers and calls that daemons took, with the refusals between daemons they met. */
+  /** Callers' requests and calls handled by daemons, and refusals between daemons. */
   requests = 0;
   refusals = 0;
 
@@ -29,22 +29,22 @@
     for (const { name } of spec.services) this.services.set(name, emptyCounts());
   }
 
-  /** A caller's request that began at `startedMs` has ended. */
-  note(service: string, startedMs: number, outcome: CallerOutcome): void {
+  /** Records the outcome of a caller's request that began at `startedMs`. */
+  recordOutcome(service: string, startedMs: number, outcome: CallerOutcome): void {
     const window = this.windows[Math.floor(startedMs / WINDOW_MS)];
     if (window !== undefined) window[outcome] += 1;
     const counts = this.services.get(service);
     if (counts !== undefined) counts[outcome] += 1;
   }
 
-  /** Share of the requests that began from `fromMs` to `toMs` and were answered in time. */
+  /** Returns the share answered in time of the requests that began between `fromMs` and `toMs`. */
   shareInTime(fromMs: number, toMs: number): number {
     const windows = this.windows.slice(Math.floor(fromMs / WINDOW_MS), Math.ceil(toMs / WINDOW_MS));
-    const asked = windows.reduce((sum, counts) => sum + total(counts), 0);
-    return windows.reduce((sum, counts) => sum + counts['in-time'], 0) / Math.max(1, asked);
+    const requests = windows.reduce((sum, counts) => sum + total(counts), 0);
+    return windows.reduce((sum, counts) => sum + counts['in-time'], 0) / Math.max(1, requests);
   }
 
-  /** Lines for a reader. */
+  /** Returns the report as lines of text. */
   lines(): string[] {
     const { messages, goodRuns, badRuns, requests, refusals } = this;
     const row = (name: string, counts: WindowCounts): string =>
--- a/lab/chain/chain-settings.ts
+++ b/lab/chain/chain-settings.ts
@@ -10,38 +10,38 @@
 } from '../../src/directory/directory-state.js';
 import type { ChainSpec } from './chain-spec.js';
 
-/** A back end and the daemon beside it. */
-export interface ChainPlace {
+/** A back end and its daemon. */
+export interface ChainMachine {
   readonly id: string;
   readonly service: string;
   readonly slots: number;
 }
 
-/** Everything that daemons are told. */
+/** Machines of a chain, and the directory that all daemons get. */
 export interface ChainSettings {
-  readonly places: readonly ChainPlace[];
+  readonly machines: readonly ChainMachine[];
   readonly directory: DirectorySnapshot;
 }
 
 /** Host of all routes. */
 export const CHAIN_HOST = 'chain.example';
 
-/** Path of a caller's request to a service. */
+/** Returns the path of a caller's request to a service. */
 export function callerPath(service: string): string {
   return `/callers/${service}/`;
 }
 
-/** Path of a call to a service. */
+/** Returns the path of a call to a service. */
 export function callPath(service: string): string {
   return `/calls/${service}/`;
 }
 
-/** The directory of a chain. */
+/** Returns the machines and the directory of a chain. */
 export function makeSettings(spec: ChainSpec): ChainSettings {
-  const places = spec.services.flatMap(({ name, backends, slots }) =>
+  const machines = spec.services.flatMap(({ name, backends, slots }) =>
     Array.from({ length: backends }, (_, at) => ({ id: `${name}-${at}`, service: name, slots })),
   );
-  const instances = places.map(({ id, service, slots }, at): BackendInstance => {
+  const instances = machines.map(({ id, service, slots }, at): BackendInstance => {
     return {
       id,
       service,
@@ -81,14 +81,14 @@
     }),
   ]);
   const keyed = spec.services.filter((service) => service.keyed);
-  const ranges = keyed.map(({ name }) => ({ service: name, ranges: divideKeys(places, name) }));
+  const ranges = keyed.map(({ name }) => ({ service: name, ranges: divideKeys(machines, name) }));
   const directory = { items, revision: 1, configured: true, accepted: [], instances, ranges };
-  return { places, directory };
+  return { machines, directory };
 }
 
-/** Each back end of the service owns an equal part of the keys. */
-function divideKeys(places: readonly ChainPlace[], service: string): KeyRange[] {
-  const owners = places.filter((place) => place.service === service);
+/** Divides the keys equally among the back ends of a service. */
+function divideKeys(machines: readonly ChainMachine[], service: string): KeyRange[] {
+  const owners = machines.filter((place) => place.service === service);
   const startOf = (at: number): number =>
     FIRST_KEY + Math.floor(((LAST_KEY - FIRST_KEY + 1) * at) / owners.length);
   return owners.map(({ id }, at) => {
--- a/lab/chain/chain-spec.ts
+++ b/lab/chain/chain-spec.ts
@@ -1,12 +1,12 @@
-/** What a simulated chain of services looks like: services that call each other, and the callers in front of them. */
+/** Specification of a simulated chain: services that call each other, and the callers in front of them. */
 
 /** Calls that a run makes before it ends. */
 export interface ChainCalls {
-  /** Service that is called. */
+  /** The called service. */
   readonly service: string;
-  /** Calls of one run, one after the other. */
-  readonly times: number;
-  /** Part of the runs that make them. */
+  /** Number of sequential calls of one run. */
+  readonly callsPerRun: number;
+  /** Share of the runs that make calls. */
   readonly share: number;
 }
 
@@ -14,100 +14,100 @@
 export interface ChainService {
   readonly name: string;
   readonly backends: number;
-  /** Requests that one back end runs at once. */
+  /** Requests that one back end runs concurrently. */
   readonly slots: number;
   /** Mean work of a caller's request, in ms. */
   readonly workMs: number;
-  /** Requests of callers in a second. */
+  /** Callers' requests per second. */
   readonly perSecond: number;
-  /** Time in which an answer is worth its full value, in ms. */
+  /** Target latency in ms, within which an answer has its full value. */
   readonly targetMs: number;
-  /** Time that callers wait, in ms. */
+  /** Deadline of a caller's request, in ms. */
   readonly deadlineMs: number;
   readonly calls: ChainCalls | null;
-  /** Whether each back end owns its part of the keys; then nobody else can run a request. */
+  /** Whether each back end owns a part of the keys, so that no other back end can run their requests. */
   readonly keyed: boolean;
 }
 
-/** What a call between services needs. */
+/** Work and times of a call between services. */
 export interface CallSpec {
   readonly workMs: number;
   readonly targetMs: number;
   readonly deadlineMs: number;
 }
 
-/** A span of time with more traffic. */
+/** A period of higher traffic. */
 export interface Burst {
   readonly fromMs: number;
   readonly toMs: number;
-  /** Times the usual traffic. */
+  /** Factor of the normal traffic. */
   readonly factor: number;
 }
 
-/** A whole chain. */
+/** Specification of a chain. */
 export interface ChainSpec {
   readonly services: readonly ChainService[];
   readonly call: CallSpec;
   readonly burst: Burst | null;
   /** Length of the traffic, in ms. */
   readonly lengthMs: number;
-  /** One way between two daemons, in ms. */
+  /** One-way network latency between two daemons, in ms. */
   readonly networkMs: number;
-  /** Time for which a daemon is busy with one message, in ms. */
+  /** Processing time of one message at a daemon, in ms. */
   readonly messageMs: number;
-  /** Tries of a caller after its first one. */
-  readonly returns: number;
+  /** Maximum number of retries of a caller. */
+  readonly retries: number;
 }
 
-/** What a run at a back end needs, in ms. */
+/** Work in ms and calls of a run at a back end. */
 export interface WorkSpec {
   readonly workMs: number;
   readonly calls: ChainCalls | null;
 }
 
-/** Answers of callers' requests and of calls, as most services of a chain have them. */
-const CALLERS = { targetMs: 600, deadlineMs: 4_000 } as const;
-const CALL: CallSpec = { workMs: 43, targetMs: 175, deadlineMs: 525 };
+/** Times of callers' requests and of calls, as in most services of a chain. */
+const CALLER_TIMES = { targetMs: 600, deadlineMs: 4_000 } as const;
+const DEFAULT_CALL: CallSpec = { workMs: 43, targetMs: 175, deadlineMs: 525 };
 
 /**
  * Four services in a row, the first one keyed. While calls are answered without delay, about 0.91, 0.97, 0.96 and 0.69 of
- * their places are in use (worked out from work, rates and the mean of 1 / speed): every moment that a call waits makes
- * the service before it short of places.
+ * their slots are in use (calculated from work, rates and the mean of 1 / speed), so any waiting of calls makes the
+ * calling service run out of slots.
  */
 export const NARROW_CHAIN: ChainSpec = {
   services: [
     {
-      ...CALLERS,
+      ...CALLER_TIMES,
       name: 'first',
       backends: 13,
       slots: 10,
       workMs: 173,
       perSecond: 480,
-      calls: { service: 'second', times: 2, share: 0.7 },
+      calls: { service: 'second', callsPerRun: 2, share: 0.7 },
       keyed: true,
     },
     {
-      ...CALLERS,
+      ...CALLER_TIMES,
       name: 'second',
       backends: 9,
       slots: 10,
       workMs: 224,
       perSecond: 190,
-      calls: { service: 'third', times: 2, share: 0.7 },
+      calls: { service: 'third', callsPerRun: 2, share: 0.7 },
       keyed: false,
     },
     {
-      ...CALLERS,
+      ...CALLER_TIMES,
       name: 'third',
       backends: 3,
       slots: 10,
       workMs: 140,
       perSecond: 80,
-      calls: { service: 'fourth', times: 2, share: 0.7 },
+      calls: { service: 'fourth', callsPerRun: 2, share: 0.7 },
       keyed: false,
     },
     {
-      ...CALLERS,
+      ...CALLER_TIMES,
       name: 'fourth',
       backends: 2,
       slots: 10,
@@ -117,10 +117,10 @@
       keyed: false,
     },
   ],
-  call: CALL,
+  call: DEFAULT_CALL,
   burst: { fromMs: 4_000, toMs: 6_000, factor: 1.4 },
   lengthMs: 16_000,
   networkMs: 0.5,
   messageMs: 0.1,
-  returns: 2,
+  retries: 2,
 };
--- a/lab/chain/chain-time.ts
+++ b/lab/chain/chain-time.ts
@@ -3,13 +3,13 @@
 import type { Random } from '../random.js';
 import type { EventQueue } from '../sim/event-queue.js';
 
-/** Time, and the runtime that daemons see it through. */
+/** Event queue with the virtual time, and the runtime that exposes it to daemons. */
 export interface ChainTime {
   readonly queue: EventQueue;
   readonly runtime: Runtime;
 }
 
-/** A runtime whose timers are events of the queue; it has no network of its own. */
+/** Returns a runtime whose timers are events of the queue; it has no network. */
 export function chainRuntime(queue: EventQueue, random: Random): Runtime {
   const after = (ms: number, callback: () => void): (() => void) => {
     let cancelled = false;
--- a/lab/chain/chain-worker.ts
+++ b/lab/chain/chain-worker.ts
@@ -1,38 +1,38 @@
-/** Plays one chain in a thread of its own, so that it can leave out mechanisms of `src/policy-switches.ts`. */
+/** Simulates one chain in its own thread, so that mechanisms of `src/policy-switches.ts` can be disabled for it alone. */
 import { parentPort, workerData } from 'node:worker_threads';
 import type { ChainSpec } from './chain-spec.js';
 
-/** What a worker is given. */
+/** Input of a worker. */
 export interface ChainTask {
   readonly spec: ChainSpec;
   readonly seed: number;
-  /** Mechanisms that are left out, separated by commas. */
+  /** Mechanisms to disable, separated by commas. */
   readonly without: string;
 }
 
-/** Figures of one play. */
+/** Figures of one simulation. */
 export interface ChainFigures {
   readonly seed: number;
-  /** Share of the callers' requests that were answered in time, in the whole play and in its last third. */
+  /** Share of the callers' requests answered in time, in the whole simulation and in its last third. */
   readonly inTime: number;
   readonly inTimeAtEnd: number;
-  /** Share of the runs that ended badly. */
+  /** Share of the runs that failed. */
   readonly badRuns: number;
-  /** Messages and refusals between daemons, for each request. */
+  /** Messages and refusals between daemons per request. */
   readonly messages: number;
   readonly refusals: number;
 }
 
-/** What a worker gives back. */
+/** Result of a worker. */
 export interface ChainResult {
   readonly figures: ChainFigures;
-  /** The whole report, for a reader. */
+  /** The complete report as lines of text. */
   readonly lines: readonly string[];
 }
 
 const { spec, seed, without } = workerData as ChainTask;
 
-// Stands for the constant of a trial bundle; the modules that read it are loaded after this.
+// Replaces the build-time constant of a trial bundle; set before the modules that read it are loaded.
 (globalThis as { ALDERTIDE_WITHOUT?: string }).ALDERTIDE_WITHOUT = without;
 const { playChain } = await import('./chain-world.js');
 
--- a/lab/chain/chain-world.ts
+++ b/lab/chain/chain-world.ts
@@ -1,6 +1,7 @@
 /**
- * A chain of services on virtual time: the real choice, forwarding and admission of the daemons, over simulated links
- * and back ends. It shows what the decisions of many daemons do together when a run of one service calls the next one.
+ * Simulation of a chain of services on virtual time: the real choice, forwarding and admission of the daemons, over
+ * simulated links and back ends. It shows the combined effect of the decisions of many daemons when the runs of one
+ * service call the next one.
  */
 import { makeSettings } from './chain-settings.js';
 import type { ChainSpec } from './chain-spec.js';
@@ -11,10 +12,10 @@
 import { EventQueue } from '../sim/event-queue.js';
 import { Random } from '../random.js';
 
-/** Time after the end of the traffic in which everything ends, in ms. */
+/** Time in ms after the end of the traffic in which the remaining requests end. */
 const RUN_OUT_MS = 6_000;
 
-/** Plays a chain; the same seed gives the same play. */
+/** Simulates a chain; the same seed gives the same result. */
 export function playChain(spec: ChainSpec, seed: number): ChainReport {
   const queue = new EventQueue();
   const random = new Random(seed);
@@ -22,7 +23,7 @@
   const report = new ChainReport(spec);
   const daemons = new Map<string, ChainDaemon>();
   const settings = makeSettings(spec);
-  for (const place of settings.places) {
+  for (const place of settings.machines) {
     daemons.set(place.id, new ChainDaemon(place, { spec, time, random, settings, daemons, report }));
   }
   const caller = new ChainCaller({ spec, time, random, daemons: [...daemons.values()], report });
--- a/lab/delayed-direction.ts
+++ b/lab/delayed-direction.ts
@@ -1,21 +1,21 @@
-/** One direction of a relayed connection: chunks leave in order, each not before its time, none while it is held. */
+/** One direction of a relayed connection: forwards chunks in order, each after its delay, and none while it is held. */
 import type { Socket } from 'node:net';
 
-/** Pause between looks at a direction that is held, in ms. */
+/** Interval in ms between checks of a held direction. */
 const HELD_POLL_MS = 15;
 
-/** What happens to the bytes of a direction. */
+/** State of a direction. */
 export interface DirectionState {
   readonly delayMs: number;
-  /** Nothing passes; what was sent arrives when that ends, as TCP has it, unless the connection has gone. */
+  /** Whether bytes are held back; as in TCP they arrive once this ends, unless the connection was closed. */
   readonly held: boolean;
 }
 
-/** A direction. */
+/** Forwards chunks from one socket to another. */
 export class DelayedDirection {
   private readonly waiting: { readonly chunk: Buffer | null; readonly dueMs: number }[] = [];
   private timer: NodeJS.Timeout | null = null;
-  private swallows = false;
+  private discards = false;
 
   constructor(
     private readonly source: Socket,
@@ -30,20 +30,20 @@
     });
   }
 
-  /** Takes what comes and passes nothing any more, also not the end. */
-  swallow(): void {
-    this.swallows = true;
+  /** Discards all pending and further bytes, and does not pass on the end of the stream. */
+  blackhole(): void {
+    this.discards = true;
     this.waiting.length = 0;
   }
 
-  /** Passes nothing any more. */
+  /** Stops forwarding and discards pending bytes. */
   stop(): void {
     if (this.timer !== null) clearTimeout(this.timer);
     this.waiting.length = 0;
   }
 
   private push(chunk: Buffer | null): void {
-    if (this.swallows) return;
+    if (this.discards) return;
     this.waiting.push({ chunk, dueMs: performance.now() + this.state().delayMs });
     if (this.timer === null) this.flush();
   }
--- a/lab/journal.ts
+++ b/lab/journal.ts
@@ -1,39 +1,39 @@
 /**
- * Journals: one JSON line for each thing that happened, written before it is answered, so that they survive
- * a kill. Times are ms of the machine's monotonic clock, which all processes on it share.
+ * Journals: one JSON line for each event, written before the request is answered, so that records survive a kill. Times are
+ * in ms of the monotonic clock, which all processes of the machine share.
  */
 import { closeSync, openSync, readFileSync, writeSync } from 'node:fs';
 
-/** A back end ran a request. */
+/** Record of a request that a back end ran. */
 export interface ExecutionRecord {
   readonly kind: 'execution';
   readonly atMs: number;
   readonly backend: string;
   readonly service: string;
-  /** Shard and epoch of the grant; null in a service without owners. */
+  /** Shard and epoch of the grant; null in a service without key ownership. */
   readonly shard: number | null;
   readonly epoch: number | null;
   readonly key: string;
-  /** Id of one sending by a caller. */
+  /** Id of one attempt of a caller. */
   readonly sendingId: string;
   readonly idempotencyKey: string | null;
   readonly repeatable: boolean;
 }
 
-/** What kind of request a caller made. */
+/** Kind of a caller's request. */
 export type Operation = 'lookup' | 'confirmation' | 'download';
 
-/** What a caller was told, or how its request ended otherwise. */
+/** Outcome of a caller's request. */
 export type CallerOutcome =
   | 'answered'
-  /** A refusal that says the request was not run. */
+  /** A refusal that states that the request was not run. */
   | 'refused'
-  /** A refusal that says it is unknown, or a connection that broke. */
+  /** A refusal that leaves open whether the request was run, or a broken connection. */
   | 'unknown'
-  /** A whole-looking answer that is not the answer to this request. */
+  /** An apparently complete answer that is not the answer to this request. */
   | 'wrong-answer';
 
-/** A caller sent a request and it ended. */
+/** Record of a request that a caller sent, written when it has ended. */
 export interface SendingRecord {
   readonly kind: 'sending';
   readonly sentMs: number;
@@ -46,16 +46,16 @@
   readonly idempotencyKey: string | null;
   readonly status: number;
   readonly outcome: CallerOutcome;
-  /** Code of the refusal, or what broke. */
+  /** Code of the refusal, or cause of the failure. */
   readonly detail: string;
   readonly retryAfterMs: number | null;
   readonly router: string;
 }
 
-/** Records that a journal may hold. */
+/** Record of a journal. */
 export type JournalRecord = ExecutionRecord | SendingRecord;
 
-/** An open journal. */
+/** Appends records to a journal file. */
 export class JournalWriter {
   private readonly descriptor: number;
 
@@ -63,7 +63,7 @@
     this.descriptor = openSync(path, 'a');
   }
 
-  /** Writes one record; it is in the kernel's hands when this returns. */
+  /** Writes one record synchronously; when this returns, the kernel has it. */
   write(record: JournalRecord): void {
     writeSync(this.descriptor, `${JSON.stringify(record)}\n`);
   }
@@ -74,11 +74,11 @@
   }
 }
 
-/** Reads all whole lines of a journal; a last line that a kill cut short is left out. */
+/** Reads all complete lines of a journal; an incomplete last line, left by a kill, is ignored. */
 export function readJournal(path: string): JournalRecord[] {
   const text = readFileSync(path, 'utf8');
-  const whole = text.slice(0, text.lastIndexOf('\n') + 1);
-  return whole
+  const completeLines = text.slice(0, text.lastIndexOf('\n') + 1);
+  return completeLines
     .split('\n')
     .filter((line) => line !== '')
     .map((line) => JSON.parse(line) as JournalRecord);
--- a/lab/pause.ts
+++ b/lab/pause.ts
@@ -1,6 +1,6 @@
-/** Waiting in the lab, on the machine's own time. */
+/** Delays in the lab, in real time. */
 
-/** Resolves after `ms`. */
+/** Resolves after `ms` milliseconds. */
 export async function pause(ms: number): Promise<void> {
   await new Promise((resolve) => setTimeout(resolve, ms));
 }
--- a/lab/random.ts
+++ b/lab/random.ts
@@ -3,7 +3,7 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** A generator of random numbers; the same seed gives the same numbers. */
+/** Pseudorandom number generator; the same seed gives the same sequence. */
 export class Random {
   private readonly generator;
 
@@ -11,25 +11,25 @@
     this.generator = xoroshiro128plus(seed);
   }
 
-  /** An integer from 0 to below `limit`. */
+  /** Returns a uniform integer from 0 to `limit` - 1. */
   below(limit: number): number {
     return uniformInt(this.generator, 0, limit - 1);
   }
 
-  /** A number from 0 to below 1. */
+  /** Returns a uniform number in [0, 1). */
   fraction(): number {
     return uniformFloat64(this.generator);
   }
 
-  /** Exponentially distributed with the given mean: the times between independent arrivals. */
+  /** Returns an exponentially distributed number with the given mean, such as the time between independent arrivals. */
   exponential(mean: number): number {
     return -Math.log(1 - this.fraction()) * mean;
   }
 
-  /** One of `items`. */
+  /** Returns a random element of `items`. */
   pick<T>(items: readonly T[]): T {
     const item = items[this.below(items.length)];
-    if (item === undefined) throw new Error('invariant broken: nothing to pick from');
+    if (item === undefined) throw new Error('invariant broken: no items to pick from');
     return item;
   }
 }
@@ -50,14 +50,14 @@
     }
   }
 
-  /** Draws one rank. */
+  /** Returns a random rank. */
   next(): number {
-    const wanted = this.random.fraction() * (this.cumulative.at(-1) ?? 0);
+    const target = this.random.fraction() * (this.cumulative.at(-1) ?? 0);
     let low = 0;
     let high = this.cumulative.length - 1;
     while (low < high) {
       const middle = (low + high) >>> 1;
-      if ((this.cumulative[middle] ?? 0) > wanted) high = middle;
+      if ((this.cumulative[middle] ?? 0) > target) high = middle;
       else low = middle + 1;
     }
     return low;
--- a/lab/soak/soak-network.ts
+++ b/lab/soak/soak-network.ts
@@ -87,8 +87,8 @@
       from,
       to,
       blackhole: () => {
-        out.swallow();
-        back.swallow();
+        out.blackhole();
+        back.blackhole();
       },
       close: (reset) => {
         out.stop();
