--- a/src/control/state-machine.ts
+++ b/src/control/state-machine.ts
@@ -3,7 +3,7 @@
  * produce the same state on every replica. A command that no longer matches the state has no effect.
  */
 import type { ConfigurationDocument, ServiceConfiguration } from '../config/configuration.js';
-import { applyCrashCommand, withdrawPermits, type CrashCommand } from '../quarantine/crash-commands.js';
+import { applyCrashCommand, revokePermitsHeldBy, type CrashCommand } from '../quarantine/crash-commands.js';
 import { emptyShardRow, type ShardRow } from '../model/shard.js';
 import type { Change, ConfigurationChange, ShardChange } from './changes.js';
 import type {
@@ -195,7 +195,7 @@
 /** Withdraws the run permits of ended back ends, since they no longer run any request. */
 function withdrawPermitsOf(state: ControlState, closed: readonly Session[]): Change[] {
   const incarnations = closed.map(({ backend, id }) => sessionIncarnation(backend, id));
-  const changed = withdrawPermits(state.crashRecords, new Set(incarnations));
+  const changed = revokePermitsHeldBy(state.crashRecords, new Set(incarnations));
   return changed.length === 0 ? [] : [{ kind: 'crash-records', changed, removed: [] }];
 }
 
--- a/src/sidecar/crash-guard.ts
+++ b/src/sidecar/crash-guard.ts
@@ -1,6 +1,6 @@
 /** Interface between a gateway and the crash records: classifies requests, and receives reports of runs. */
 import type { InterruptedRun } from '../quarantine/interrupted-runs.js';
-import type { Judged } from '../quarantine/quarantine-view.js';
+import type { RequestClassification } from '../quarantine/quarantine-view.js';
 import type { IdentifiedRequest } from '../quarantine/request-fingerprint.js';
 import type { SuspectPermits } from './suspect-scheduler.js';
 
@@ -8,7 +8,7 @@
 export interface CrashGuard {
   readonly permits: SuspectPermits;
   /** Returns the classification of a request at the present back end. */
-  classify(request: IdentifiedRequest): Judged;
+  classify(request: IdentifiedRequest): RequestClassification;
   /** Called for every answered run, so it must be cheap while there are no records. */
   answered(request: IdentifiedRequest, statusCode: number): void;
   /** Called when the back end rejects a request as meant for another instance, or because it does not hold the key. */
