--- a/lab/sim/fleet/fleet-machine.ts
+++ b/lab/sim/fleet/fleet-machine.ts
@@ -201,7 +201,7 @@
     const deliver = (): void => {
       void this.node?.heartbeat(heartbeat).then((grant) => {
         if (heartbeat.condition === 'draining') this.acknowledged(backend);
-        if (backend.up) backend.keys.takeAnswer(grant, sentMs);
+        if (backend.up) backend.keys.applyAnswer(grant, sentMs);
       });
     };
     if (this.nextWayMs === null) this.process.schedule(LOCAL_DELAY_MS, deliver);
--- a/lab/sim/fleet/fleet-world.ts
+++ b/lab/sim/fleet/fleet-world.ts
@@ -235,7 +235,7 @@
   }
 
   private look(): void {
-    this.judge.look(this.queue.nowMs);
+    this.judge.checkOverlaps(this.queue.nowMs);
     this.queue.at(this.queue.nowMs + LOOK_MS, () => {
       this.look();
     });
--- a/lab/soak/held-keys.ts
+++ b/lab/soak/held-keys.ts
@@ -48,7 +48,7 @@
   }
 
   /** Returns whether there is work on any key of a span. */
-  worksIn({ from, to }: { readonly from: number; readonly to: number }): boolean {
+  hasWorkIn({ from, to }: { readonly from: number; readonly to: number }): boolean {
     return [...this.running.keys()].some((key) => key >= from && key <= to);
   }
 
@@ -70,7 +70,7 @@
   }
 
   /** Applies the answer to a heartbeat; null renews nothing. Ignores rows whose fence is lower than the highest seen. */
-  takeAnswer(grant: HeartbeatGrant | null, sentMs: number): void {
+  applyAnswer(grant: HeartbeatGrant | null, sentMs: number): void {
     this.released = [];
     if (grant === null || this.grantMode() !== 'heartbeat') return;
     const untilMs = sentMs + grant.holdMs;
--- a/lab/soak/soak-backend.ts
+++ b/lab/soak/soak-backend.ts
@@ -210,7 +210,7 @@
     const sentMs = performance.now();
     const answer = await this.callDaemon('PUT', this.nextHeartbeatBody());
     if (!this.isUp) return false;
-    if (answer !== null) this.keys.takeAnswer(readHeartbeatAnswer(answer), sentMs);
+    if (answer !== null) this.keys.applyAnswer(readHeartbeatAnswer(answer), sentMs);
     const releasing = this.keys.leaving().length > 0;
     this.scheduleHeartbeat(releasing ? RELEASING_HEARTBEAT_MS : HEARTBEAT_MS);
     return answer !== null;
@@ -277,7 +277,7 @@
   private async handleRelease(body: string, response: ServerResponse): Promise<void> {
     const call = readGrantCall(body);
     this.keys.release(call);
-    while (this.isUp && this.keys.worksIn(call)) await pause(RELEASE_POLL_MS);
+    while (this.isUp && this.keys.hasWorkIn(call)) await pause(RELEASE_POLL_MS);
     response.writeHead(STATUS.ok, { ...releaseHeaders(this.keys.nextHandover()), 'content-length': 0 });
     response.end();
   }
@@ -360,10 +360,10 @@
     if (key !== null) this.keys.begin(key);
     const repeatable = request.method === 'GET';
     judge.runStarted({ requestId, backend: this.options.life, service, key, repeatable }, performance.now());
-    if (path.endsWith(CRASHING_PATH_SUFFIX)) judge.endingRequestRun(path, performance.now());
+    if (path.endsWith(CRASHING_PATH_SUFFIX)) judge.crashingRequestStarted(path, performance.now());
     await pause(random.exponential(WORK_MS));
     if (path.endsWith(CRASHING_PATH_SUFFIX) && this.isUp) {
-      judge.endedUnder(path, performance.now());
+      judge.crashedUnder(path, performance.now());
       this.options.onCrashingRequest();
       return;
     }
--- a/lab/soak/soak-judge.ts
+++ b/lab/soak/soak-judge.ts
@@ -8,7 +8,7 @@
 import type { TimedRange } from './held-keys.js';
 
 /** Guarantees that must hold. */
-export type SoakPromise =
+export type SoakRule =
   | 'at-most-once'
   | 'not-run'
   | 'whole-answer'
@@ -26,7 +26,7 @@
 
 /** Violation of a guarantee. */
 export interface SoakViolation {
-  readonly promise: SoakPromise;
+  readonly promise: SoakRule;
   readonly atMs: number;
   readonly detail: string;
 }
@@ -104,12 +104,12 @@
   }
 
   /** Records that a crashing request has crashed a back end. */
-  endedUnder(path: string, nowMs: number): void {
+  crashedUnder(path: string, nowMs: number): void {
     this.crashTimes.set(path, [...(this.crashTimes.get(path) ?? []), nowMs]);
   }
 
   /** Records the start of a crashing request; long after its third crash at most `MAX_LATER_RUNS` runs may follow. */
-  endingRequestRun(path: string, nowMs: number): void {
+  crashingRequestStarted(path: string, nowMs: number): void {
     const detectedMs = this.crashTimes.get(path)?.[CRASHES_TO_DETECT - 1];
     if (detectedMs === undefined || nowMs - detectedMs <= PROPAGATION_MS || !this.isSettled()) return;
     const runs = (this.laterRuns.get(path) ?? 0) + 1;
@@ -190,7 +190,7 @@
     this.holdings.set(backend, { service, ranges });
     for (const range of ranges)
       if (!before.some((other) => isPartOf(range, other))) this.checkFence(backend, service, range, nowMs);
-    this.look(nowMs);
+    this.checkOverlaps(nowMs);
   }
 
   /** Records that a back end has ended. */
@@ -232,7 +232,7 @@
   }
 
   /** Checks for back ends that hold the same keys; called every few ms. */
-  look(nowMs: number): void {
+  checkOverlaps(nowMs: number): void {
     const holdings = [...this.holdings];
     holdings.forEach(([left, leftHoldings], at) => {
       for (const [right, rightHoldings] of holdings.slice(at + 1)) {
@@ -256,7 +256,7 @@
   }
 
   private checkOwner(backend: string, key: number, nowMs: number): void {
-    this.look(nowMs);
+    this.checkOverlaps(nowMs);
     for (const [pair, overlap] of this.overlaps) {
       const names = pair.split('|');
       const other = names.find((name) => name !== backend);
@@ -288,7 +288,7 @@
     this.fences.set(service, [...known, { backend, range }]);
   }
 
-  private report(promise: SoakPromise, atMs: number, detail: string): void {
+  private report(promise: SoakRule, atMs: number, detail: string): void {
     this.violations.push({ promise, atMs: Math.round(atMs), detail });
   }
 }
--- a/lab/soak/soak-run.ts
+++ b/lab/soak/soak-run.ts
@@ -90,7 +90,7 @@
   const timers = [
     setInterval(() => {
       const nowMs = performance.now();
-      judge.look(nowMs);
+      judge.checkOverlaps(nowMs);
       awaitedChanges.check(isFormed && troubles.undisturbedFor(STABLE_MS), nowMs);
     }, CHECK_INTERVAL_MS),
   ];
--- a/test/lab/soak/held-keys.test.ts
+++ b/test/lab/soak/held-keys.test.ts
@@ -63,7 +63,7 @@
 test('heartbeats: an answer grants all held ranges, for a duration counted from the sending of the heartbeat', (t) => {
   const world = new World('heartbeat');
   world.nowMs = 50;
-  world.keys.takeAnswer({ ranges: [{ from: 0, to: 9, fence: 1, handover: '' }], holdMs: 100 }, 10);
+  world.keys.applyAnswer({ ranges: [{ from: 0, to: 9, fence: 1, handover: '' }], holdMs: 100 }, 10);
   t.true(world.keys.holds(9));
   world.nowMs = 110;
   t.false(world.keys.holds(9));
@@ -72,9 +72,9 @@
 
 test('heartbeats: a range missing in an answer is reported as released, and keys still worked on as held', (t) => {
   const { keys } = new World('heartbeat');
-  keys.takeAnswer({ ranges: [{ from: 0, to: 9, fence: 1, handover: '' }], holdMs: 100 }, 0);
+  keys.applyAnswer({ ranges: [{ from: 0, to: 9, fence: 1, handover: '' }], holdMs: 100 }, 0);
   keys.begin(4);
-  keys.takeAnswer({ ranges: [], holdMs: 100 }, 0);
+  keys.applyAnswer({ ranges: [], holdMs: 100 }, 0);
   const { holds, released } = keys.report();
   t.deepEqual(holds, [{ from: 4, to: 4, fence: 0 }]);
   t.like(released, [{ from: 0, to: 9 }]);
@@ -84,14 +84,14 @@
 
 test('heartbeats: a row under a lower fence than the highest seen is ignored', (t) => {
   const { keys } = new World('heartbeat');
-  keys.takeAnswer({ ranges: [{ from: 0, to: 9, fence: 5, handover: '' }], holdMs: 100 }, 0);
-  keys.takeAnswer({ ranges: [{ from: 0, to: 9, fence: 4, handover: '' }], holdMs: 100 }, 10);
+  keys.applyAnswer({ ranges: [{ from: 0, to: 9, fence: 5, handover: '' }], holdMs: 100 }, 0);
+  keys.applyAnswer({ ranges: [{ from: 0, to: 9, fence: 4, handover: '' }], holdMs: 100 }, 10);
   t.false(keys.holds(3));
 });
 
 test('heartbeats: an answer without a grant changes nothing', (t) => {
   const { keys } = new World('heartbeat');
-  keys.takeAnswer({ ranges: [{ from: 0, to: 9, fence: 1, handover: '' }], holdMs: 100 }, 0);
-  keys.takeAnswer(null, 50);
+  keys.applyAnswer({ ranges: [{ from: 0, to: 9, fence: 1, handover: '' }], holdMs: 100 }, 0);
+  keys.applyAnswer(null, 50);
   t.true(keys.holds(3));
 });
--- a/test/lab/soak/soak-judge.test.ts
+++ b/test/lab/soak/soak-judge.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { SoakJudge, type SoakPromise } from '../../../lab/soak/soak-judge.js';
+import { SoakJudge, type SoakRule } from '../../../lab/soak/soak-judge.js';
 
 const DRAIN_MS = 2_000;
 const APPLY_MS = 2_000;
@@ -11,7 +11,7 @@
 const ALL = { from: 0, to: 65_535 };
 
 /** Observations of callers, back ends and the operator, and the guarantees that they violate. */
-const CASES: readonly { name: string; see: (judge: SoakJudge) => void; broken: readonly SoakPromise[] }[] = [
+const CASES: readonly { name: string; see: (judge: SoakJudge) => void; broken: readonly SoakRule[] }[] = [
   {
     name: 'a non-repeatable request runs twice',
     see: (judge) => {
@@ -50,7 +50,7 @@
       judge.holds('a', 'keyed', [{ ...ALL, fence: 1, untilMs: 1_000 }], 0);
       judge.holds('b', 'keyed', [{ ...ALL, fence: 2, untilMs: 1_000 }], 100);
       judge.runStarted(run('r', 'b', 7), 110);
-      judge.look(590);
+      judge.checkOverlaps(590);
     },
     broken: [],
   },
@@ -69,8 +69,8 @@
     see: (judge) => {
       judge.holds('a', 'keyed', [{ ...ALL, fence: 1, untilMs: 1_000 }], 0);
       judge.holds('b', 'keyed', [{ ...ALL, fence: 2, untilMs: 1_000 }], 100);
-      judge.look(601);
-      judge.look(650);
+      judge.checkOverlaps(601);
+      judge.checkOverlaps(650);
     },
     broken: ['one-owner'],
   },
@@ -79,7 +79,7 @@
     see: (judge) => {
       judge.holds('a', 'keyed', [{ ...ALL, fence: 1, untilMs: 100 }], 0);
       judge.holds('b', 'keyed', [{ ...ALL, fence: 2, untilMs: 1_000 }], 101);
-      judge.look(900);
+      judge.checkOverlaps(900);
     },
     broken: [],
   },
@@ -161,11 +161,11 @@
 
 test('a crashing request runs more than three times long after its third crash', (t) => {
   const judge = new SoakJudge(2_000, 2_000);
-  for (const atMs of [0, 500, 1_000]) judge.endedUnder('/path', atMs);
-  for (let at = 0; at < 5; at += 1) judge.endingRequestRun('/path', 1_500);
-  for (let at = 0; at < 3; at += 1) judge.endingRequestRun('/path', 4_100 + at);
-  judge.endingRequestRun('/other', 9_000);
+  for (const atMs of [0, 500, 1_000]) judge.crashedUnder('/path', atMs);
+  for (let at = 0; at < 5; at += 1) judge.crashingRequestStarted('/path', 1_500);
+  for (let at = 0; at < 3; at += 1) judge.crashingRequestStarted('/path', 4_100 + at);
+  judge.crashingRequestStarted('/other', 9_000);
   t.deepEqual(judge.violations, []);
-  judge.endingRequestRun('/path', 9_000);
+  judge.crashingRequestStarted('/path', 9_000);
   t.is(judge.violations[0]?.promise, 'contained-request');
 });
