--- a/src/link/link-connection.ts
+++ b/src/link/link-connection.ts
@@ -15,10 +15,10 @@
  * Liveness timing while requests are in flight: 0.8 s of silence uses up most of the time of a request, and stalls of a
  * busy daemon are shorter.
  */
-const ACTIVE_TIMING: SilenceTiming = { askEveryMs: 250, limitMs: 800 };
+const ACTIVE_TIMING: SilenceTiming = { probeIntervalMs: 250, maxSilenceMs: 800 };
 
 /** Liveness timing while no request is in flight: a dead connection is detected and closed within 4 s. */
-const IDLE_TIMING: SilenceTiming = { askEveryMs: 2_000, limitMs: 1_900 };
+const IDLE_TIMING: SilenceTiming = { probeIntervalMs: 2_000, maxSilenceMs: 1_900 };
 
 const EMPTY_BODY = Buffer.alloc(0);
 
@@ -48,7 +48,7 @@
   ) {
     this.silence = new SilenceWatch({
       nowMs,
-      ask: () => {
+      sendProbe: () => {
         this.send(FRAME_KIND.ping, 0, undefined);
       },
       onSilence: () => {
@@ -146,7 +146,7 @@
 
   private receive(chunk: Buffer): void {
     if (this.closed) return;
-    this.silence.heard();
+    this.silence.recordReceived();
     this.pacer?.recordReceive(chunk.length);
     const frames = this.decoder.push(chunk);
     if (frames.err) {
--- a/src/quarantine/end-reporter.ts
+++ b/src/quarantine/end-reporter.ts
@@ -31,8 +31,8 @@
  */
 const MAX_INTERRUPTION_AGE_MS = 10_000;
 
-/** Incarnation of a back end. */
-export interface BackendIncarnation {
+/** Incarnation of a back end, with its service and software version. */
+export interface VersionedIncarnation {
   readonly id: string;
   readonly service: string;
   readonly version: string;
@@ -44,7 +44,7 @@
   readonly log: { event(name: string, fields: EventFields): void };
   readonly interrupted: InterruptedRuns;
   /** Returns the current incarnation of the back end; null if there is none or it is draining. */
-  readonly life: () => BackendIncarnation | null;
+  readonly life: () => VersionedIncarnation | null;
   /** Checks whether any process listens at the back end's address. */
   readonly listens: () => Promise<boolean>;
   readonly send: (request: RunRequest) => boolean;
@@ -52,7 +52,7 @@
 
 interface PendingReport {
   readonly token: number;
-  readonly life: BackendIncarnation;
+  readonly life: VersionedIncarnation;
   readonly runs: readonly CrashedRun[];
   attempts: number;
   cancelTimer: CancelTimer;
@@ -81,7 +81,7 @@
   }
 
   /** Handles the appearance of a new incarnation when no refused connection has revealed the end of the previous one. */
-  handleNewIncarnation(previous: BackendIncarnation): void {
+  handleNewIncarnation(previous: VersionedIncarnation): void {
     const runs = this.ports.interrupted.takeCrashRuns(this.ports.runtime.nowMs() - MAX_INTERRUPTION_AGE_MS);
     if (runs.length > 0) void this.report(previous, runs);
   }
@@ -108,7 +108,7 @@
     if (runs.length > 0) await this.report(life, runs);
   }
 
-  private async report(life: BackendIncarnation, runs: readonly InterruptedRun[]): Promise<void> {
+  private async report(life: VersionedIncarnation, runs: readonly InterruptedRun[]): Promise<void> {
     if (this.lastCrashedId !== life.id) this.ends += 1;
     this.lastCrashedId = life.id;
     this.ports.log.event('backend-ended', { instance: life.id, version: life.version, runs });
--- a/src/sidecar/crash-watch.ts
+++ b/src/sidecar/crash-watch.ts
@@ -1,6 +1,6 @@
 /** Crash guard of a sidecar, based on its quarantine table, the directory and the state of the local back end. */
 import type { DirectoryNotice, DirectoryRequest } from '../directory/directory-messages.js';
-import { CrashReporter, type BackendIncarnation } from '../quarantine/end-reporter.js';
+import { CrashReporter, type VersionedIncarnation } from '../quarantine/end-reporter.js';
 import { InterruptedRuns, type InterruptedRun } from '../quarantine/interrupted-runs.js';
 import type { RequestClassification, QuarantineView } from '../quarantine/quarantine-view.js';
 import type { IdentifiedRequest } from '../quarantine/request-fingerprint.js';
@@ -17,7 +17,7 @@
   readonly log: EventLog;
   readonly quarantine: QuarantineView;
   /** Returns the present incarnation of the back end; null while it is leaving or this daemon is stopping. */
-  readonly life: () => BackendIncarnation | null;
+  readonly life: () => VersionedIncarnation | null;
   /** Checks whether a process listens at the back end's address. */
   readonly listens: () => Promise<boolean>;
   readonly send: (request: DirectoryRequest) => boolean;
@@ -78,7 +78,7 @@
   }
 
   /** Called when a new incarnation of the back end has replaced one that had not announced that it leaves. */
-  incarnationReplaced(previous: BackendIncarnation): void {
+  incarnationReplaced(previous: VersionedIncarnation): void {
     this.reporter.handleNewIncarnation(previous);
   }
 
--- a/test/incidents/change-in-time.test.ts
+++ b/test/incidents/change-in-time.test.ts
@@ -38,7 +38,7 @@
   const sentMs = world.queue.nowMs;
   if (node === null) return result;
   const calls = new OperatorCalls(node, CONTROL_PORT, new Set());
-  void calls.take({ method, path: '/config', headers: {}, body }).then(({ status }) => {
+  void calls.handle({ method, path: '/config', headers: {}, body }).then(({ status }) => {
     result.status = status;
     result.ms = world.queue.nowMs - sentMs;
   });
