--- a/lab/sim/fleet/fleet-machine.ts
+++ b/lab/sim/fleet/fleet-machine.ts
@@ -201,7 +201,7 @@
     const deliver = (): void => {
       void this.node?.heartbeat(heartbeat).then((grant) => {
         if (heartbeat.condition === 'draining') this.recordDrainAcknowledged(backend);
-        if (backend.isRunning) backend.keys.takeAnswer(grant, sentMs);
+        if (backend.isRunning) backend.keys.applyAnswer(grant, sentMs);
       });
     };
     if (this.nextHeartbeatLatencyMs === null) this.process.schedule(LOCAL_LATENCY_MS, deliver);
--- a/lab/sim/fleet/fleet-world.ts
+++ b/lab/sim/fleet/fleet-world.ts
@@ -237,7 +237,7 @@
   }
 
   private checkPeriodically(): void {
-    this.judge.look(this.queue.nowMs);
+    this.judge.checkOverlaps(this.queue.nowMs);
     this.queue.at(this.queue.nowMs + CHECK_INTERVAL_MS, () => {
       this.checkPeriodically();
     });
