--- a/lab/backend/backend-server.ts
+++ b/lab/backend/backend-server.ts
@@ -1,6 +1,7 @@
 /**
- * A stand-in for a stateful server that owns its keys: keeps a value for each key, works on few requests at
- * a time, starts cold, drains, sheds, and tells its health late or wrongly. Offers the grant contract.
+ * Test back end: a stateful server that owns its keys. It keeps a value for each key, has a limited number of
+ * slots, is slow after a start, drains, sheds load, and can report its health late or wrongly. Implements the
+ * grant contract.
  */
 import { randomUUID } from 'node:crypto';
 import type { IncomingHttpHeaders } from 'node:http';
@@ -17,34 +18,34 @@
 import { registerContract } from './contract-routes.js';
 import { downloadBody } from './download-body.js';
 import { GrantTable } from './grant-table.js';
-import { RequestGate, type KeptAnswer } from './request-gate.js';
+import { RequestGate, type StoredAnswer } from './request-gate.js';
 
-/** How a stand-in behaves. */
+/** Options of a test back end. */
 export interface BackendOptions {
   readonly name: string;
   readonly service: string;
   readonly host: string;
   readonly port: number;
   readonly slots: number;
-  /** Mean time of one request, in ms. */
+  /** Mean processing time of a request, in ms. */
   readonly workMs: number;
-  /** Time in ms after the start in which requests take longer. */
+  /** Time in ms after the start during which requests take longer. */
   readonly coldMs: number;
-  /** How many times longer the first requests take. */
+  /** Factor on the processing time during `coldMs`. */
   readonly coldFactor: number;
   readonly repeatHorizonMs: number;
-  /** What the health endpoint tells: the truth, the truth of some time ago, or always that all is well. */
+  /** What the health endpoint reports: the current state, the state of some time ago, or always a healthy state. */
   readonly health: 'honest' | 'lagging' | 'misleading';
   readonly seed: number;
-  /** File for the execution journal; null for none. */
+  /** Path of the execution journal; null to write none. */
   readonly journal: string | null;
 }
 
-/** How far a lagging health endpoint is behind, in ms. */
+/** Age in ms of the state that a lagging health endpoint reports. */
 const HEALTH_LAG_MS = 5_000;
 
-/** When a refused caller may come back, in ms. */
-const OVERLOAD_RETRY_MS = 20;
+/** Delay in ms that an overload refusal asks its caller to wait before a retry. */
+const OVERLOAD_RETRY_AFTER_MS = 20;
 
 const STATUS_UNAVAILABLE = 503;
 const STATUS_CONFLICT = 409;
@@ -71,7 +72,7 @@
   readonly closed: () => boolean;
 }
 
-/** A running stand-in. */
+/** HTTP server of a test back end. */
 export class BackendServer {
   readonly instance = randomUUID();
   readonly bornMs = Date.now();
@@ -91,23 +92,23 @@
     this.journal = options.journal === null ? null : new JournalWriter(options.journal);
     this.app = fastify({ forceCloseConnections: 'idle' });
     registerContract(this.app, this);
-    this.registerWork();
+    this.registerOperations();
     this.registerHealth();
   }
 
-  /** Starts to listen. */
+  /** Starts listening. */
   async listen(): Promise<void> {
     await this.app.listen({ host: this.options.host, port: this.options.port });
   }
 
-  /** Finishes what is in flight, then stops. */
+  /** Stops the server after all requests in flight have finished. */
   async stop(): Promise<void> {
     this.gate.draining = true;
     await this.app.close();
     this.journal?.close();
   }
 
-  private registerWork(): void {
+  private registerOperations(): void {
     const { service } = this.options;
     const handle = async (
       operation: Operation,
@@ -131,12 +132,12 @@
   }
 
   private registerHealth(): void {
-    const history: { readonly atMs: number; readonly inFlight: number }[] = [];
+    const samples: { readonly atMs: number; readonly inFlight: number }[] = [];
     this.app.get('/-/health', () => {
       const nowMs = steadyMs();
-      history.push({ atMs: nowMs, inFlight: this.gate.inFlight });
-      const old = history.filter((seen) => nowMs - seen.atMs >= HEALTH_LAG_MS).at(-1);
-      const lagging = { status: 'ok', inFlight: old?.inFlight ?? 0 };
+      samples.push({ atMs: nowMs, inFlight: this.gate.inFlight });
+      const laggingSample = samples.filter((seen) => nowMs - seen.atMs >= HEALTH_LAG_MS).at(-1);
+      const lagging = { status: 'ok', inFlight: laggingSample?.inFlight ?? 0 };
       const honest = { status: this.gate.draining ? 'draining' : 'ok', inFlight: this.gate.inFlight };
       const misleading = { status: 'ok', inFlight: 0 };
       return { honest, lagging, misleading }[this.options.health];
@@ -144,34 +145,37 @@
   }
 
   private async serve(work: WorkRequest, reply: FastifyReply): Promise<FastifyReply> {
-    const shard = headerOf(work.headers, REQUEST_HEADERS.shard);
-    const epoch = headerOf(work.headers, REQUEST_HEADERS.epoch);
+    const shard = readHeader(work.headers, REQUEST_HEADERS.shard);
+    const epoch = readHeader(work.headers, REQUEST_HEADERS.epoch);
     const fence = shard === null ? null : { shard: Number(shard), epoch: Number(epoch) };
     if (fence !== null) this.load.set(fence.shard, (this.load.get(fence.shard) ?? 0) + 1);
     const claimKey =
-      work.operation === 'confirm' ? headerOf(work.headers, REQUEST_HEADERS.idempotencyKey) : null;
+      work.operation === 'confirm' ? readHeader(work.headers, REQUEST_HEADERS.idempotencyKey) : null;
     const begun = this.gate.begin({ fence, claimKey, wallMs: Date.now() });
     if (begun.kind === 'refused') return refuse(reply, begun.code);
     if (begun.kind === 'replay') return send(reply.header('aldertide-replayed', 'true'), begun.answer);
-    await sleep(this.workTime());
+    await sleep(this.drawWorkTimeMs());
     const answer = begun.work.finish(work.closed(), () => this.execute(work));
     if (answer === null) return refuse(reply, 'lease-expired');
     return work.operation === 'download' ? sendDownload(reply, work) : send(reply, answer);
   }
 
-  private workTime(): number {
+  private drawWorkTimeMs(): number {
     const cold = steadyMs() - this.startedMs < this.options.coldMs;
     return this.random.exponential(this.options.workMs) * (cold ? this.options.coldFactor : 1);
   }
 
-  /** Changes the state and writes the journal, in one turn with the check of the grant. */
-  private execute(work: WorkRequest): KeptAnswer {
+  /**
+   * Changes the state and writes the journal. Runs in the same turn of the event loop as the check of the grant, so
+   * that the grant cannot end in between.
+   */
+  private execute(work: WorkRequest): StoredAnswer {
     const { name, service } = this.options;
     const version = (this.values.get(work.key) ?? 0) + Number(work.operation === 'confirm');
     this.values.set(work.key, version);
-    const shard = headerOf(work.headers, REQUEST_HEADERS.shard);
-    const epoch = headerOf(work.headers, REQUEST_HEADERS.epoch);
-    const sendingId = headerOf(work.headers, 'x-sending-id') ?? '';
+    const shard = readHeader(work.headers, REQUEST_HEADERS.shard);
+    const epoch = readHeader(work.headers, REQUEST_HEADERS.epoch);
+    const sendingId = readHeader(work.headers, 'x-sending-id') ?? '';
     this.journal?.write({
       kind: 'execution',
       atMs: steadyMs(),
@@ -181,7 +185,7 @@
       epoch: epoch === null ? null : Number(epoch),
       key: work.key,
       sendingId,
-      idempotencyKey: headerOf(work.headers, REQUEST_HEADERS.idempotencyKey),
+      idempotencyKey: readHeader(work.headers, REQUEST_HEADERS.idempotencyKey),
       repeatable: work.operation !== 'confirm',
     });
     const content = { key: work.key, version, backend: name, sendingId };
@@ -189,13 +193,13 @@
   }
 }
 
-function headerOf(headers: IncomingHttpHeaders, name: string): string | null {
+function readHeader(headers: IncomingHttpHeaders, name: string): string | null {
   const value = headers[name];
   return typeof value === 'string' ? value : null;
 }
 
 function refuse(reply: FastifyReply, code: RefusalCode): FastifyReply {
-  const retryAfterMs = code === 'overloaded' ? OVERLOAD_RETRY_MS : 0;
+  const retryAfterMs = code === 'overloaded' ? OVERLOAD_RETRY_AFTER_MS : 0;
   return reply
     .status(REFUSAL_STATUS[code])
     .header(REFUSAL_HEADER, code)
@@ -203,7 +207,7 @@
     .send();
 }
 
-function send(reply: FastifyReply, answer: KeptAnswer): FastifyReply {
+function send(reply: FastifyReply, answer: StoredAnswer): FastifyReply {
   return reply.status(answer.status).header('content-type', answer.contentType).send(answer.body);
 }
 
@@ -212,6 +216,6 @@
   return reply
     .header('content-type', 'application/octet-stream')
     .header('content-length', bytes)
-    .header('x-sending-id', headerOf(work.headers, 'x-sending-id') ?? '')
+    .header('x-sending-id', readHeader(work.headers, 'x-sending-id') ?? '')
     .send(downloadBody(bytes));
 }
--- a/lab/backend/contract-routes.ts
+++ b/lab/backend/contract-routes.ts
@@ -1,4 +1,4 @@
-/** The grant contract of a stand-in back end; see docs/BACKEND-CONTRACT.md. */
+/** HTTP routes of the grant contract of a test back end; see docs/BACKEND-CONTRACT.md. */
 import type { FastifyInstance, FastifyReply } from 'fastify';
 import type { z } from 'zod';
 import {
@@ -16,18 +16,18 @@
 const STATUS_BAD_REQUEST = 400;
 const STATUS_NOT_HOLDER = 409;
 
-/** Adds the contract's routes. */
+/** Registers the routes of the grant contract. */
 export function registerContract(app: FastifyInstance, server: BackendServer): void {
   const route = <T extends { readonly agent: string }>(
     name: string,
     schema: z.ZodType<T>,
     handle: (body: T) => unknown,
-    open = false,
+    allowAnyAgent = false,
   ): void => {
     app.put(`${CONTRACT_PREFIX}/${name}`, async (request, reply: FastifyReply) => {
       const parsed = schema.safeParse(request.body);
       if (!parsed.success) return await reply.status(STATUS_BAD_REQUEST).send({ error: parsed.error.issues });
-      if (!open && !server.grants.isHolder(parsed.data.agent)) {
+      if (!allowAnyAgent && !server.grants.isHolder(parsed.data.agent)) {
         return await reply.status(STATUS_NOT_HOLDER).send({ error: 'another agent holds this back end' });
       }
       const answer = await handle(parsed.data);
@@ -38,12 +38,12 @@
   const takeHolder = async ({ agent }: { agent: string }): Promise<HolderAnswer> => {
     await server.grants.takeHolder(agent);
     server.gate.draining = false;
-    return holderAnswer(server);
+    return buildHolderAnswer(server);
   };
   route('holder', takeHolderSchema, takeHolder, true);
   route('lease', extendLeaseSchema, ({ deadlineMs }) => {
     server.grants.extend(deadlineMs);
-    return holderAnswer(server);
+    return buildHolderAnswer(server);
   });
   route('grants', addGrantsSchema, ({ grants, deadlineMs }) => {
     server.grants.extend(deadlineMs);
@@ -61,7 +61,7 @@
   });
 }
 
-function holderAnswer(server: BackendServer): HolderAnswer {
+function buildHolderAnswer(server: BackendServer): HolderAnswer {
   const load = [...server.load];
   server.load.clear();
   return { instance: server.instance, bornMs: server.bornMs, load, inFlight: server.gate.inFlight };
--- a/lab/backend/grant-table.ts
+++ b/lab/backend/grant-table.ts
@@ -1,4 +1,4 @@
-/** The fence of a stand-in back end: which shards it may serve, under which epoch, and until when. */
+/** Fence of a test back end: which shards it may serve, under which epoch, and until which deadline. */
 import type { Grant, RefusalCode } from '../../src/backend-contract/grant-messages.js';
 import type { Runtime } from '../../src/runtime/runtime.js';
 import { ClaimWindow } from './claim-window.js';
@@ -12,18 +12,21 @@
   readonly idleWaiters: (() => void)[];
 }
 
-/** A request that was admitted; it must be ended. */
+/** Admission of a request; `end` must be called once. */
 export interface Admission {
   readonly window: ClaimWindow;
-  /** Whether the grant still holds; to be asked in the same turn as the change of state. */
+  /** Whether the grant still holds; must be checked in the same turn of the event loop as the change of state. */
   stillValid(): boolean;
   end(): void;
 }
 
-/** Clocks that a back end reads, as `Runtime` gives them to daemons. */
+/** Clocks of a back end, as `Runtime` provides them to daemons. */
 export type BackendClocks = Pick<Runtime, 'nowMs' | 'steadyMs'>;
 
-/** Grants of one back end. Deadlines come as readings of the host's steady clock, and end by a clock that skips nothing. */
+/**
+ * Grants of one back end. Deadlines are received as readings of the host's steady clock, but expire by a clock that
+ * also counts the time during which the host was suspended.
+ */
 export class GrantTable {
   private readonly shards = new Map<number, GrantedShard>();
   private holder: string | null = null;
@@ -34,13 +37,13 @@
     private readonly repeatHorizonMs: number,
   ) {}
 
-  /** Makes `agent` the holder, ends all grants, and waits for what is running. */
+  /** Makes `agent` the holder, ends all grants, and waits for the requests in flight. */
   async takeHolder(agent: string): Promise<void> {
     this.holder = agent;
     this.deadlineMs = 0;
-    const ended = [...this.shards.values()];
+    const endedGrants = [...this.shards.values()];
     this.shards.clear();
-    await Promise.all(ended.map((shard) => idle(shard)));
+    await Promise.all(endedGrants.map((shard) => waitUntilIdle(shard)));
   }
 
   /** Whether `agent` is the holder. */
@@ -48,19 +51,22 @@
     return agent === this.holder;
   }
 
-  /** Lengthens all grants; a deadline never goes back. */
+  /** Extends the lease of all grants; the deadline never moves backwards. */
   extend(steadyDeadlineMs: number): void {
-    const skippedMs = this.clocks.nowMs() - this.clocks.steadyMs();
-    this.deadlineMs = Math.max(this.deadlineMs, steadyDeadlineMs + skippedMs);
+    const suspendedMs = this.clocks.nowMs() - this.clocks.steadyMs();
+    this.deadlineMs = Math.max(this.deadlineMs, steadyDeadlineMs + suspendedMs);
   }
 
-  /** Adds grants. A grant that is there under the same epoch is admitted to again and keeps its claims. */
+  /**
+   * Adds grants. A shard that is already granted under the same epoch admits requests again and keeps its claims; a
+   * grant under an older epoch is ignored.
+   */
   add(grants: readonly Grant[]): void {
     for (const { shard, epoch, freshAfterMs, window } of grants) {
-      const known = this.shards.get(shard);
-      if (known !== undefined && known.epoch > epoch) continue;
-      if (known?.epoch === epoch) {
-        known.releasing = false;
+      const existing = this.shards.get(shard);
+      if (existing !== undefined && existing.epoch > epoch) continue;
+      if (existing?.epoch === epoch) {
+        existing.releasing = false;
         continue;
       }
       const claims = new ClaimWindow(window, freshAfterMs, this.repeatHorizonMs);
@@ -68,32 +74,35 @@
     }
   }
 
-  /** Ends grants at once. */
+  /** Ends the grants of `shards` at once. */
   revoke(shards: readonly number[]): void {
     for (const shard of shards) this.shards.delete(shard);
   }
 
-  /** Stops admitting to a shard and waits for what is running; null when it is not granted under `epoch`. */
+  /**
+   * Stops admitting requests to a shard and waits for those in flight; returns null when the shard is not granted
+   * under `epoch`.
+   */
   async release(shard: number, epoch: number): Promise<ClaimWindow | null> {
     const granted = this.shards.get(shard);
     if (granted?.epoch !== epoch) return null;
     granted.releasing = true;
-    await idle(granted);
+    await waitUntilIdle(granted);
     return granted.window;
   }
 
-  /** Epoch under which a shard is granted, whether or not the lease still holds. */
+  /** Returns the epoch under which a shard is granted, whether or not the lease has expired; null without a grant. */
   epochOf(shard: number): number | null {
     return this.shards.get(shard)?.epoch ?? null;
   }
 
-  /** Shards that a request would be admitted to now. */
+  /** Returns the shards for which a request would be admitted now. */
   servableShards(): number[] {
     if (this.clocks.nowMs() >= this.deadlineMs) return [];
     return [...this.shards].filter(([, { releasing }]) => !releasing).map(([shard]) => shard);
   }
 
-  /** Admits a request, or says why not. */
+  /** Admits a request, or returns the code of the refusal. */
   admit(shard: number, epoch: number): Admission | RefusalCode {
     const granted = this.shards.get(shard);
     if (granted?.epoch !== epoch) return 'not-owner';
@@ -105,13 +114,13 @@
       stillValid: () => this.shards.get(shard) === granted && this.clocks.nowMs() < this.deadlineMs,
       end: () => {
         granted.running -= 1;
-        if (granted.running === 0) for (const wake of granted.idleWaiters.splice(0)) wake();
+        if (granted.running === 0) for (const resolve of granted.idleWaiters.splice(0)) resolve();
       },
     };
   }
 }
 
-async function idle(shard: GrantedShard): Promise<void> {
+async function waitUntilIdle(shard: GrantedShard): Promise<void> {
   if (shard.running === 0) return;
   await new Promise<void>((resolve) => shard.idleWaiters.push(resolve));
 }
--- a/lab/backend/request-gate.ts
+++ b/lab/backend/request-gate.ts
@@ -1,32 +1,32 @@
 /**
- * What a stand-in checks before and after it works on a request: fence, slots, idempotency key. Shared by the
- * HTTP stand-in and the simulated one. No clock or timer of its own.
+ * Checks that a test back end makes before and after it processes a request: fence, slots, idempotency key. Shared
+ * by the HTTP back end and the simulated one, and therefore without a clock or timer of its own.
  */
 import type { Claim, RefusalCode } from '../../src/backend-contract/grant-messages.js';
 import type { ClaimWindow } from './claim-window.js';
 import type { Admission, GrantTable } from './grant-table.js';
 
-/** The answer that is kept for repeats of a confirmation. */
-export type KeptAnswer = NonNullable<Claim['answer']>;
+/** Answer stored for replays of a confirmation. */
+export type StoredAnswer = NonNullable<Claim['answer']>;
 
-/** A request as the gate sees it. */
+/** Properties of a request that the gate checks. */
 export interface GatedRequest {
-  /** Grant that the request relies on; null in a service without owners. */
+  /** Grant that the request requires; null in a service without owners. */
   readonly fence: { readonly shard: number; readonly epoch: number } | null;
-  /** Idempotency key of a request that may not be repeated. */
+  /** Idempotency key of a request that must run at most once; null for other requests. */
   readonly claimKey: string | null;
   /** Wall-clock time, in ms. */
   readonly wallMs: number;
 }
 
-/** How a request begins. */
-export type Begun =
+/** Outcome of the checks before a request runs. */
+export type BeginResult =
   | { readonly kind: 'refused'; readonly code: RefusalCode }
-  | { readonly kind: 'replay'; readonly answer: KeptAnswer }
-  | { readonly kind: 'running'; readonly work: RunningWork };
+  | { readonly kind: 'replay'; readonly answer: StoredAnswer }
+  | { readonly kind: 'running'; readonly work: RunningRequest };
 
-/** A request that was let in; it must be finished. */
-export class RunningWork {
+/** Admitted request; `finish` must be called once. */
+export class RunningRequest {
   constructor(
     private readonly gate: RequestGate,
     private readonly admission: Admission | null,
@@ -35,12 +35,12 @@
   ) {}
 
   /**
-   * Runs the request in the same turn as the last check of its grant; null when the grant ended or the caller
-   * has gone, and the request was not run.
+   * Runs the request in the same turn of the event loop as the last check of its grant. Returns null, without running
+   * it, when the grant has ended or the caller has disconnected.
    */
-  finish(callerGone: boolean, run: () => KeptAnswer): KeptAnswer | null {
+  finish(callerDisconnected: boolean, run: () => StoredAnswer): StoredAnswer | null {
     try {
-      const valid = !callerGone && (this.admission?.stillValid() ?? true);
+      const valid = !callerDisconnected && (this.admission?.stillValid() ?? true);
       if (!valid) {
         if (this.claimKey !== null) this.window?.abandon(this.claimKey);
         return null;
@@ -55,7 +55,7 @@
   }
 }
 
-/** The gate of one back end. */
+/** Admission control of one back end. */
 export class RequestGate {
   draining = false;
   inFlight = 0;
@@ -65,27 +65,27 @@
     private readonly slots: number,
   ) {}
 
-  /** Lets a request in, or says why not. */
-  begin(request: GatedRequest): Begun {
+  /** Admits a request, replays a stored answer, or refuses. */
+  begin(request: GatedRequest): BeginResult {
     const admission = this.admit(request);
     if (typeof admission === 'string') return { kind: 'refused', code: admission };
-    const begun = this.beginAdmitted(request, admission);
-    if (begun.kind !== 'running') admission?.end();
-    return begun;
+    const result = this.beginAdmitted(request, admission);
+    if (result.kind !== 'running') admission?.end();
+    return result;
   }
 
-  /** A running request has ended. */
+  /** Frees the slot of a request that has ended. */
   ended(): void {
     this.inFlight -= 1;
   }
 
-  /** Checks the fence; null when the request needs none. */
+  /** Checks the fence; returns null when the request requires no grant. */
   private admit({ fence }: GatedRequest): Admission | RefusalCode | null {
     if (fence === null) return this.draining ? 'draining' : null;
     return this.grants.admit(fence.shard, fence.epoch);
   }
 
-  private beginAdmitted(request: GatedRequest, admission: Admission | null): Begun {
+  private beginAdmitted(request: GatedRequest, admission: Admission | null): BeginResult {
     if (this.inFlight >= this.slots) return { kind: 'refused', code: 'overloaded' };
     const window = admission?.window ?? null;
     const { claimKey, wallMs } = request;
@@ -95,6 +95,6 @@
       if (decision.kind !== 'run') return { kind: 'refused', code: decision.kind };
     }
     this.inFlight += 1;
-    return { kind: 'running', work: new RunningWork(this, admission, window, claimKey) };
+    return { kind: 'running', work: new RunningRequest(this, admission, window, claimKey) };
   }
 }
--- a/lab/load/sending.ts
+++ b/lab/load/sending.ts
@@ -1,10 +1,10 @@
-/** One sending of a request by a caller, and what the caller was told. */
+/** One sending (attempt) of a request by a caller, and its result as the caller sees it. */
 import { Agent, type Dispatcher } from 'undici';
 import { steadyMs } from '../../src/runtime/clock.js';
 import { DownloadChecker } from '../backend/download-body.js';
 import type { CallerOutcome, Operation } from '../journal.js';
 
-/** What is sent. */
+/** Request to send. */
 export interface SendingRequest {
   readonly routerUrl: string;
   readonly service: string;
@@ -16,7 +16,7 @@
   readonly downloadBytes: number;
 }
 
-/** How it ended. */
+/** Result of one sending. */
 export interface SendingResult {
   readonly status: number;
   readonly outcome: CallerOutcome;
@@ -26,10 +26,10 @@
   readonly endedMs: number;
 }
 
-/** Time in ms beyond the deadline that a caller waits before it gives up on a router. */
-const PATIENCE_MS = 1_500;
+/** Time in ms beyond the deadline after which a caller aborts a request to a router. */
+const GRACE_AFTER_DEADLINE_MS = 1_500;
 
-const FIRST_ERROR_STATUS = 400;
+const MIN_ERROR_STATUS = 400;
 
 const PATHS: Readonly<Record<Operation, string>> = {
   lookup: 'items',
@@ -37,16 +37,16 @@
   download: 'download',
 };
 
-/** Connections of all callers. */
+/** Creates the HTTP agent that all callers share. */
 export function createCallerAgent(): Agent {
   return new Agent({ connections: 256, pipelining: 1, keepAliveTimeout: 4_000, connect: { timeout: 1_000 } });
 }
 
-/** Sends once; never rejects. */
+/** Sends a request once. Failures are returned as results; the promise never rejects. */
 export async function sendOnce(agent: Agent, request: SendingRequest): Promise<SendingResult> {
   const sentMs = steadyMs();
-  const finish = (ending: Omit<SendingResult, 'sentMs' | 'endedMs'>): SendingResult => {
-    return { ...ending, sentMs, endedMs: steadyMs() };
+  const withTimes = (result: Omit<SendingResult, 'sentMs' | 'endedMs'>): SendingResult => {
+    return { ...result, sentMs, endedMs: steadyMs() };
   };
   try {
     const response = await agent.request({
@@ -54,11 +54,13 @@
       method: request.operation === 'confirmation' ? 'POST' : 'GET',
       path: pathOf(request),
       headers: headersOf(request),
-      signal: AbortSignal.timeout(request.deadlineMs + PATIENCE_MS + downloadAllowanceMs(request)),
+      signal: AbortSignal.timeout(
+        request.deadlineMs + GRACE_AFTER_DEADLINE_MS + downloadAllowanceMs(request),
+      ),
     });
-    return finish(await readResponse(request, response));
+    return withTimes(await readResponse(request, response));
   } catch (error) {
-    return finish(describeBreak(error));
+    return withTimes(describeFailure(error));
   }
 }
 
@@ -80,20 +82,23 @@
   return headers;
 }
 
-type Ending = Omit<SendingResult, 'sentMs' | 'endedMs'>;
+type UntimedResult = Omit<SendingResult, 'sentMs' | 'endedMs'>;
 
-async function readResponse(request: SendingRequest, response: Dispatcher.ResponseData): Promise<Ending> {
+async function readResponse(
+  request: SendingRequest,
+  response: Dispatcher.ResponseData,
+): Promise<UntimedResult> {
   const status = response.statusCode;
-  if (status >= FIRST_ERROR_STATUS) return await readRefusal(status, response);
-  const right =
+  if (status >= MIN_ERROR_STATUS) return await readRefusal(status, response);
+  const correct =
     request.operation === 'download'
       ? await checkDownload(request, response)
       : await checkAnswer(request, response);
-  const outcome = right ? 'answered' : 'wrong-answer';
+  const outcome = correct ? 'answered' : 'wrong-answer';
   return { status, outcome, detail: '', retryAfterMs: null };
 }
 
-async function readRefusal(status: number, response: Dispatcher.ResponseData): Promise<Ending> {
+async function readRefusal(status: number, response: Dispatcher.ResponseData): Promise<UntimedResult> {
   const text = await response.body.text();
   const notRun = response.headers['aldertide-outcome'] === 'not-run';
   const retryAfter = response.headers['aldertide-retry-after-ms'];
@@ -102,7 +107,7 @@
   return { status, outcome: notRun ? 'refused' : 'unknown', detail: code, retryAfterMs };
 }
 
-/** A replayed answer carries the id of the sending that ran, but must be for the same key. */
+/** Checks key and sending id; a replayed answer carries the id of the sending that ran, so only its key is checked. */
 async function checkAnswer(request: SendingRequest, response: Dispatcher.ResponseData): Promise<boolean> {
   const body = (await response.body.json()) as { key?: unknown; sendingId?: unknown };
   const replayed = response.headers['aldertide-replayed'] === 'true';
@@ -112,13 +117,13 @@
 async function checkDownload(request: SendingRequest, response: Dispatcher.ResponseData): Promise<boolean> {
   const checker = new DownloadChecker();
   for await (const chunk of response.body) checker.push(chunk as Buffer);
-  return checker.isWhole(request.downloadBytes) && response.headers['x-sending-id'] === request.sendingId;
+  return checker.isComplete(request.downloadBytes) && response.headers['x-sending-id'] === request.sendingId;
 }
 
-function describeBreak(error: unknown): Ending {
+function describeFailure(error: unknown): UntimedResult {
   const { code, name, message } = error as NodeJS.ErrnoException;
   const detail = code ?? `${name}: ${message}`;
-  // A refused connection is the only break that proves that nothing was sent.
+  // Of all connection failures, only a refused connection proves that nothing was sent.
   const outcome = code === 'ECONNREFUSED' ? 'refused' : 'unknown';
   return { status: 0, outcome, detail, retryAfterMs: null };
 }
--- a/lab/sim/sim-backend.ts
+++ b/lab/sim/sim-backend.ts
@@ -4,7 +4,7 @@
 import type { Claim, Grant, HolderAnswer, RefusalCode } from '../../src/backend-contract/grant-messages.js';
 import { Err, Ok, type Result } from '../../src/result.js';
 import { type BackendClocks, GrantTable } from '../backend/grant-table.js';
-import { RequestGate, type KeptAnswer } from '../backend/request-gate.js';
+import { RequestGate, type StoredAnswer } from '../backend/request-gate.js';
 import type { ExecutionRecord } from '../journal.js';
 import type { Random } from '../random.js';
 import type { SimProcess } from './sim-process.js';
@@ -104,7 +104,7 @@
     this.gate.draining = draining;
   }
 
-  private execute({ shard, epoch, key, sendingId, idempotencyKey }: BackendRequest): KeptAnswer {
+  private execute({ shard, epoch, key, sendingId, idempotencyKey }: BackendRequest): StoredAnswer {
     this.record({
       kind: 'execution',
       atMs: this.process.nowTrueMs(),
