--- a/lab/load/load-run.ts
+++ b/lab/load/load-run.ts
@@ -1,6 +1,7 @@
 /**
- * Open-loop callers: requests start when they are due, whether earlier ones have ended or not. Each caller
- * follows the refusals: comes back when it is told to, and repeats a confirmation only under the same key.
+ * Open-loop load generator: requests start when they are due, whether earlier ones have ended or not. Each caller
+ * honours refusals: it retries after the delay that the refusal states, and repeats a confirmation only under the
+ * same idempotency key.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { build, type Histogram } from 'hdr-histogram-js';
@@ -12,15 +13,15 @@
 import type { LoadOptions, RouterTarget, Traffic } from './load-options.js';
 import { createCallerAgent, sendOnce, type SendingResult } from './sending.js';
 
-/** Requests under way at which new ones are no longer started but counted as skipped. */
+/** Maximum number of requests in flight; further ones are not started but counted as skipped. */
 const MAX_IN_FLIGHT = 4_000;
 
-/** Pause in ms before a caller repeats without having been told when. */
-const DEFAULT_RETRY_MS = 100;
+/** Delay in ms before a retry when the refusal states none. */
+const DEFAULT_RETRY_DELAY_MS = 100;
 
 const MICROSECONDS_PER_MS = 1_000;
 
-/** Sums of a load run. Times in ms, of answered requests from their first sending on. */
+/** Totals of a load run. Latencies in ms are those of answered requests, from the first sending on. */
 export interface LoadSummary {
   readonly requests: number;
   readonly answered: number;
@@ -41,12 +42,12 @@
   readonly idempotencyKey: string | null;
 }
 
-/** A run of many callers. */
+/** Runs the callers of all services. */
 export class LoadRun {
   private readonly random: Random;
   private readonly journal: JournalWriter;
   private readonly agent = createCallerAgent();
-  private readonly times: Histogram = build({
+  private readonly latencies: Histogram = build({
     lowestDiscernibleValue: 1,
     highestTrackableValue: 600_000_000,
   });
@@ -66,18 +67,25 @@
     this.journal = new JournalWriter(options.journal);
   }
 
-  /** Runs for the given time and waits for all callers. */
+  /** Generates load for the configured time and waits until all callers have finished. */
   async run(): Promise<LoadSummary> {
-    await Promise.all(this.options.traffic.map((traffic, at) => this.generate(traffic, at)));
-    while (this.inFlight > 0) await sleep(DEFAULT_RETRY_MS);
+    await Promise.all(
+      this.options.traffic.map((traffic, position) => this.generateTraffic(traffic, position)),
+    );
+    while (this.inFlight > 0) await sleep(DEFAULT_RETRY_DELAY_MS);
     this.journal.close();
     await this.agent.destroy();
     const ms = (percentile: number): number =>
-      this.times.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS;
-    return { ...this.counts, p50Ms: ms(50), p99Ms: ms(99), maxMs: this.times.maxValue / MICROSECONDS_PER_MS };
+      this.latencies.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS;
+    return {
+      ...this.counts,
+      p50Ms: ms(50),
+      p99Ms: ms(99),
+      maxMs: this.latencies.maxValue / MICROSECONDS_PER_MS,
+    };
   }
 
-  private async generate(traffic: Traffic, position: number): Promise<void> {
+  private async generateTraffic(traffic: Traffic, position: number): Promise<void> {
     const random = new Random(this.options.seed * 1_000 + position);
     const keys = new ZipfSampler(random, traffic.keys, traffic.zipf);
     const endMs = steadyMs() + this.options.seconds * 1_000;
@@ -85,12 +93,12 @@
     while (dueMs < endMs) {
       const waitMs = dueMs - steadyMs();
       if (waitMs > 0) await sleep(waitMs);
-      this.start(this.draw(traffic, random, keys));
+      this.startRequest(this.drawRequest(traffic, random, keys));
       dueMs += random.exponential(1_000 / traffic.rate);
     }
   }
 
-  private draw(traffic: Traffic, random: Random, keys: ZipfSampler): CallerRequest {
+  private drawRequest(traffic: Traffic, random: Random, keys: ZipfSampler): CallerRequest {
     const share = random.fraction();
     const { confirmationShare, downloadShare } = traffic;
     const operation =
@@ -103,42 +111,42 @@
     return { traffic, key: `key-${keys.next()}`, operation, idempotencyKey };
   }
 
-  private start(request: CallerRequest): void {
+  private startRequest(request: CallerRequest): void {
     if (this.inFlight >= MAX_IN_FLIGHT) {
       this.counts.skipped += 1;
       return;
     }
     this.inFlight += 1;
     this.counts.requests += 1;
-    void this.call(request).finally(() => {
+    void this.runCaller(request).finally(() => {
       this.inFlight -= 1;
     });
   }
 
-  /** One caller: sends until it has an answer or has tried often enough. */
-  private async call(request: CallerRequest): Promise<void> {
+  /** Sends one request until it is answered or `maxSendings` is reached. */
+  private async runCaller(request: CallerRequest): Promise<void> {
     const startedMs = steadyMs();
-    let last: SendingResult | null = null;
+    let lastResult: SendingResult | null = null;
     let router = this.random.pick(this.options.routers);
     for (let sending = 0; sending < this.options.maxSendings; sending += 1) {
-      last = await this.send(request, router);
-      if (last.outcome === 'answered' || last.outcome === 'wrong-answer') break;
-      await sleep(last.retryAfterMs ?? DEFAULT_RETRY_MS);
+      lastResult = await this.send(request, router);
+      if (lastResult.outcome === 'answered' || lastResult.outcome === 'wrong-answer') break;
+      await sleep(lastResult.retryAfterMs ?? DEFAULT_RETRY_DELAY_MS);
       router = this.random.pick(this.options.routers);
     }
-    if (last !== null) this.count(last, steadyMs() - startedMs);
-    const sendAgain = request.idempotencyKey !== null && this.random.fraction() < this.options.duplicateShare;
-    if (sendAgain) await this.send(request, this.random.pick(this.options.routers));
+    if (lastResult !== null) this.count(lastResult, steadyMs() - startedMs);
+    const duplicate = request.idempotencyKey !== null && this.random.fraction() < this.options.duplicateShare;
+    if (duplicate) await this.send(request, this.random.pick(this.options.routers));
   }
 
-  private count(last: SendingResult, ms: number): void {
-    if (last.outcome === 'answered') {
+  private count(result: SendingResult, latencyMs: number): void {
+    if (result.outcome === 'answered') {
       this.counts.answered += 1;
-      this.times.recordValue(Math.max(1, Math.round(ms * MICROSECONDS_PER_MS)));
+      this.latencies.recordValue(Math.max(1, Math.round(latencyMs * MICROSECONDS_PER_MS)));
     }
-    if (last.outcome === 'refused') this.counts.refused += 1;
-    if (last.outcome === 'unknown') this.counts.unknown += 1;
-    if (last.outcome === 'wrong-answer') this.counts.wrongAnswers += 1;
+    if (result.outcome === 'refused') this.counts.refused += 1;
+    if (result.outcome === 'unknown') this.counts.unknown += 1;
+    if (result.outcome === 'wrong-answer') this.counts.wrongAnswers += 1;
   }
 
   private async send(request: CallerRequest, router: RouterTarget): Promise<SendingResult> {
@@ -147,7 +155,7 @@
     const sendingId = uuidv7();
     this.counts.sendings += 1;
     const { deadlineMs } = this.options;
-    const sent = {
+    const sendingRequest = {
       routerUrl: router.url,
       service,
       key,
@@ -157,7 +165,7 @@
       deadlineMs,
       downloadBytes,
     };
-    const result = await sendOnce(this.agent, sent);
+    const result = await sendOnce(this.agent, sendingRequest);
     const shard = shards === null ? null : shardOfKey(service, key, shards);
     this.journal.write({
       kind: 'sending',
