--- a/lab/emulator/bench.ts
+++ b/lab/emulator/bench.ts
@@ -1,17 +1,17 @@
-/** Runs workloads x strategies x seeds. */
+/** Placement benchmark: runs every strategy on every workload with several seeds. */
 import { Random } from '../random.js';
 import { emulate, spreadOf, type EmulationResult, type Spread } from './emulation.js';
 import { STRATEGIES } from './strategies.js';
 import { WORKLOADS } from './workloads.js';
 
-/** One emulation and what it gave. */
+/** Result of one emulation. */
 export interface BenchRow extends EmulationResult {
   readonly workload: string;
   readonly policy: string;
   readonly seed: number;
 }
 
-/** Spreads over seeds of one workload and strategy. */
+/** Spread of the results of one workload and strategy over the seeds. */
 export interface BenchSummary {
   readonly workload: string;
   readonly policy: string;
@@ -21,7 +21,7 @@
   readonly p99Ms: Spread;
 }
 
-/** Runs every strategy on the same draws of every workload. */
+/** Runs every strategy; with the same seed all strategies see the same draw of a workload. */
 export function runBench(workloads: readonly string[], seeds: number): BenchRow[] {
   const rows: BenchRow[] = [];
   for (const workload of workloads) {
@@ -31,10 +31,10 @@
 }
 
 function runSeed(workload: string, seed: number): BenchRow[] {
-  const make = WORKLOADS[workload];
-  if (make === undefined) return [];
+  const makeWorkload = WORKLOADS[workload];
+  if (makeWorkload === undefined) return [];
   return Object.entries(STRATEGIES).map(([policy, makeStrategy]) => {
-    const result = emulate(make(new Random(seed)), makeStrategy(new Random(seed)));
+    const result = emulate(makeWorkload(new Random(seed)), makeStrategy(new Random(seed)));
     return { workload, policy, seed, ...result };
   });
 }
--- a/lab/emulator/emulation.ts
+++ b/lab/emulator/emulation.ts
@@ -1,25 +1,25 @@
-/** Emulates a service under a workload and a way of placement, second by second, and measures. */
+/** Emulates a service under a workload and a placement strategy in steps of one second, and measures the result. */
 import { imbalance, percentile } from '../../src/placement/measures.js';
-import { answerTimeMs, type ServedLoad } from './queueing.js';
+import { answerTimePercentileMs, type ServedLoad } from './queueing.js';
 import type { Strategy, StrategyView } from './strategies.js';
-import { EMULATED, type BackendEvent, type Workload } from './workloads.js';
+import { EMULATED_SERVICE, type BackendEvent, type Workload } from './workloads.js';
 
-/** What was measured in one emulation. */
+/** Measurements of one emulation. */
 export interface EmulationResult {
-  /** Mean over the seconds after settling. */
+  /** Mean imbalance over the seconds after the settling time. */
   readonly imbalance: number;
-  /** Changes of owner after the first placement. */
+  /** Number of changes of owner after the settling time. */
   readonly churn: number;
-  /** Sum over shards. */
+  /** Unavailable time in ms, summed over all shards. */
   readonly unavailableMs: number;
-  /** Of an answer at the back ends, queueing included. */
+  /** 99th percentile of the response time at the back ends in ms, queueing included. */
   readonly p99Ms: number;
 }
 
-/** Seconds in which a first placement may settle. */
+/** Seconds at the start, while the first placement settles, that are not measured. */
 const SETTLE_SECONDS = 120;
 
-/** Age of the load that a strategy sees, in seconds. */
+/** Age in seconds of the load report that a strategy receives. */
 const REPORT_LAG_SECONDS = 2;
 
 const MS_PER_SECOND = 1_000;
@@ -30,12 +30,12 @@
 }
 
 class Emulation {
-  private readonly owners = new Array<number | null>(EMULATED.shards).fill(null);
+  private readonly owners = new Array<number | null>(EMULATED_SERVICE.shards).fill(null);
   private readonly present: Set<number>;
-  private readonly noticed: Set<number>;
+  private readonly knownBackends: Set<number>;
   private readonly leaving = new Set<number>();
   private readonly imbalances: number[] = [];
-  private readonly served: ServedLoad[] = [];
+  private readonly servedLoads: ServedLoad[] = [];
   private churn = 0;
   private unavailableMs = 0;
 
@@ -44,31 +44,31 @@
     private readonly strategy: Strategy,
   ) {
     this.present = new Set(workload.present);
-    this.noticed = new Set(workload.present);
+    this.knownBackends = new Set(workload.present);
   }
 
   run(): EmulationResult {
-    for (let second = 0; second < EMULATED.seconds; second += 1) this.step(second);
+    for (let second = 0; second < EMULATED_SERVICE.seconds; second += 1) this.step(second);
     return {
       imbalance: this.imbalances.reduce((sum, value) => sum + value, 0) / this.imbalances.length,
       churn: this.churn,
       unavailableMs: Math.round(this.unavailableMs),
-      p99Ms: answerTimeMs(this.served, 0.99),
+      p99Ms: answerTimePercentileMs(this.servedLoads, 0.99),
     };
   }
 
   private step(second: number): void {
     for (const event of this.workload.events) if (event.atSecond === second) this.apply(event);
-    this.noticeLosses(second);
+    this.detectLosses(second);
     const view: StrategyView = {
       second,
       owners: this.owners,
-      present: this.noticed,
+      present: this.knownBackends,
       leaving: this.leaving,
       reported: this.workload.loadAt(Math.max(0, second - REPORT_LAG_SECONDS)),
     };
     for (const { shard, backend } of this.strategy.place(view)) this.place(shard, backend, second);
-    this.finishLeaving();
+    this.removeEmptied();
     if (second >= SETTLE_SECONDS) this.measure(second);
   }
 
@@ -76,28 +76,28 @@
     switch (kind) {
       case 'join':
         this.present.add(backend);
-        this.noticed.add(backend);
+        this.knownBackends.add(backend);
         break;
       case 'leaving':
         this.leaving.add(backend);
         break;
       case 'lost':
-        this.lose(backend);
+        this.recordLoss(backend);
         break;
     }
   }
 
-  /** Its shards cannot be used until the loss is noticed and repaired. */
-  private lose(backend: number): void {
+  /** Removes a back end; its shards are unavailable until the loss is detected and repaired. */
+  private recordLoss(backend: number): void {
     this.present.delete(backend);
-    const held = this.owners.filter((owner) => owner === backend).length;
-    this.unavailableMs += held * this.strategy.repairSeconds * MS_PER_SECOND;
+    const ownedShards = this.owners.filter((owner) => owner === backend).length;
+    this.unavailableMs += ownedShards * this.strategy.repairSeconds * MS_PER_SECOND;
   }
 
-  private noticeLosses(second: number): void {
+  private detectLosses(second: number): void {
     for (const { kind, backend, atSecond } of this.workload.events) {
       if (kind !== 'lost' || second !== atSecond + Math.ceil(this.strategy.repairSeconds)) continue;
-      this.noticed.delete(backend);
+      this.knownBackends.delete(backend);
       this.owners.forEach((owner, shard) => {
         if (owner === backend) this.owners[shard] = null;
       });
@@ -105,20 +105,20 @@
   }
 
   private place(shard: number, backend: number, second: number): void {
-    const earlier = this.owners[shard] ?? null;
+    const previousOwner = this.owners[shard] ?? null;
     if (second >= SETTLE_SECONDS) {
       this.churn += 1;
-      if (earlier !== null) this.unavailableMs += this.strategy.moveSeconds * MS_PER_SECOND;
+      if (previousOwner !== null) this.unavailableMs += this.strategy.moveSeconds * MS_PER_SECOND;
     }
     this.owners[shard] = backend;
   }
 
-  private finishLeaving(): void {
+  private removeEmptied(): void {
     for (const backend of this.leaving) {
       if (this.owners.includes(backend)) continue;
       this.leaving.delete(backend);
       this.present.delete(backend);
-      this.noticed.delete(backend);
+      this.knownBackends.delete(backend);
     }
   }
 
@@ -131,18 +131,18 @@
     });
     const loads = [...byBackend.values()];
     this.imbalances.push(imbalance(loads));
-    for (const requests of loads) this.served.push({ requests });
+    for (const requests of loads) this.servedLoads.push({ requests });
   }
 }
 
-/** Middle, least and largest of several runs. */
+/** Median, minimum and maximum over several runs. */
 export interface Spread {
   readonly median: number;
   readonly least: number;
   readonly largest: number;
 }
 
-/** Spread of values over seeds. */
+/** Returns the spread of values over seeds. */
 export function spreadOf(values: readonly number[]): Spread {
   return { median: percentile(values, 0.5), least: Math.min(...values), largest: Math.max(...values) };
 }
--- a/lab/emulator/report.ts
+++ b/lab/emulator/report.ts
@@ -1,4 +1,4 @@
-/** Writes the results of a bench as one HTML page with plots and nothing to load. */
+/** Renders the results of a benchmark as one self-contained HTML page with plots. */
 import { compile, type TopLevelSpec } from 'vega-lite';
 import { parse, View } from 'vega';
 import type { BenchRow, BenchSummary } from './bench.js';
@@ -16,7 +16,7 @@
 table{border-collapse:collapse}td,th{border:1px solid #ccc;padding:.2rem .6rem;text-align:right}
 td:first-child,td:nth-child(2),th{text-align:left}`;
 
-/** Makes the page. */
+/** Returns the page as HTML. */
 export async function writeReport(rows: readonly BenchRow[]): Promise<string> {
   const plots = await Promise.all(MEASURES.map(async ({ field, title }) => await plot(rows, field, title)));
   const seeds = new Set(rows.map(({ seed }) => seed)).size;
@@ -56,8 +56,8 @@
   return `<h2>Median (least to largest)</h2><table><tr><th>workload</th><th>policy</th>${head}</tr>${body.join('')}</table>`;
 }
 
-/** A spread as text. */
+/** Formats a spread as text. */
 export function describeSpread({ median, least, largest }: Spread): string {
-  const write = (value: number): string => (value >= 100 ? Math.round(value).toString() : value.toFixed(2));
-  return `${write(median)} (${write(least)} to ${write(largest)})`;
+  const format = (value: number): string => (value >= 100 ? Math.round(value).toString() : value.toFixed(2));
+  return `${format(median)} (${format(least)} to ${format(largest)})`;
 }
--- a/lab/emulator/strategies.ts
+++ b/lab/emulator/strategies.ts
@@ -1,64 +1,64 @@
-/** Ways of placement that the bench compares: the planner under two settings, and baselines of our own. */
+/** Placement strategies that the benchmark compares: the planner with two settings, and two baselines. */
 import { emptyShardRow, shardOfKey, type ShardRow } from '../../src/model/shard.js';
 import { planPlacement } from '../../src/placement/planner.js';
 import type { Random } from '../random.js';
-import { EMULATED } from './workloads.js';
+import { EMULATED_SERVICE } from './workloads.js';
 
-/** What a strategy knows when it is asked. */
+/** Input of a placement decision. */
 export interface StrategyView {
   readonly second: number;
-  /** Owner of each shard; null where it was lost. */
+  /** Owner of each shard; null where there is none. */
   readonly owners: readonly (number | null)[];
-  /** Back ends that are there; a lost one is missing as soon as its loss was noticed. */
+  /** Known back ends; a lost one is removed once its loss has been detected. */
   readonly present: ReadonlySet<number>;
-  /** Back ends that are to be emptied. */
+  /** Back ends that are being drained. */
   readonly leaving: ReadonlySet<number>;
-  /** Load by shard as it was last reported. */
+  /** Last reported load of each shard. */
   readonly reported: readonly number[];
 }
 
-/** A shard and its new owner. */
-export interface Placed {
+/** Assignment of a shard to a new owner. */
+export interface Placement {
   readonly shard: number;
   readonly backend: number;
 }
 
-/** A way of placement. */
+/** Placement strategy. */
 export interface Strategy {
-  /** Seconds until the loss of a back end is noticed and its shards are served elsewhere. */
+  /** Seconds until the loss of a back end is detected and its shards are served elsewhere. */
   readonly repairSeconds: number;
-  /** Seconds for which a shard cannot be used when it is moved on purpose. */
+  /** Seconds during which a shard is unavailable in a planned move. */
   readonly moveSeconds: number;
-  place(view: StrategyView): Placed[];
+  place(view: StrategyView): Placement[];
 }
 
-/** Makes a strategy for one run. */
+/** Creates a strategy for one run. */
 export type StrategyMaker = (random: Random) => Strategy;
 
 /**
- * New owner after a loss: p50 of the one run at 1,100 daemons and 120,000 shards (docs/CAPACITY.md). Planned moves
- * showed no unavailable time in drain runs (docs/PROMISES.md).
+ * Time until a new owner serves after a loss: p50 of a single run with 1,100 daemons and 120,000 shards
+ * (docs/CAPACITY.md). Planned moves showed no unavailable time in drain runs (docs/PROMISES.md).
  */
 const ALDERTIDE_REPAIR_SECONDS = 2.1;
 
-/** The list of live machines that scripts go by lags; assumed for the baselines. */
-const LIST_LAG_SECONDS = 10;
+/** Lag in seconds of the list of live machines that scripts use; an assumption for the baselines. */
+const MEMBERSHIP_LAG_SECONDS = 10;
 
-/** Callers of scripts find out by a time-out; assumed for the baselines. */
-const BLIND_RETRY_SECONDS = 5;
+/** Seconds until callers of scripts detect a loss by a timeout; an assumption for the baselines. */
+const TIMEOUT_DETECTION_SECONDS = 5;
 
 class PlannerStrategy implements Strategy {
   readonly repairSeconds = ALDERTIDE_REPAIR_SECONDS;
   readonly moveSeconds = 0;
-  private allowance = 0;
+  private moveAllowance = 0;
 
   constructor(
     private readonly toleratedImbalance: number,
     private readonly movesPerMinute: number,
   ) {}
 
-  place(view: StrategyView): Placed[] {
-    this.allowance = Math.min(this.movesPerMinute, this.allowance + this.movesPerMinute / 60);
+  place(view: StrategyView): Placement[] {
+    this.moveAllowance = Math.min(this.movesPerMinute, this.moveAllowance + this.movesPerMinute / 60);
     const plan = planPlacement({
       rows: view.owners.map((owner, shard) => toRow(owner, shard)),
       backends: [...view.present].map((backend) => {
@@ -66,10 +66,10 @@
       }),
       loadOf: (shard) => 1 + (view.reported[shard] ?? 0),
       toleratedImbalance: this.toleratedImbalance,
-      maxBalanceMoves: Math.floor(this.allowance),
+      maxBalanceMoves: Math.floor(this.moveAllowance),
     });
     const fromLeaving = plan.moves.filter(({ shard }) => view.leaving.has(view.owners[shard] ?? -1)).length;
-    this.allowance -= plan.moves.length - fromLeaving;
+    this.moveAllowance -= plan.moves.length - fromLeaving;
     return [...plan.assignments, ...plan.moves].map(({ shard, backend }) => ({
       shard,
       backend: Number(backend),
@@ -83,18 +83,18 @@
 }
 
 function zoneOf(backend: number): string {
-  return `zone-${backend % EMULATED.zones}`;
+  return `zone-${backend % EMULATED_SERVICE.zones}`;
 }
 
-const RING_POINTS = 64;
+const RING_POINTS_PER_BACKEND = 64;
 const RING_SIZE = 2 ** 31;
 
-/** Consistent hashing over the list of live machines, without regard to load. */
+/** Consistent hashing over the list of live machines; ignores load. */
 class ConsistentHashing implements Strategy {
-  readonly repairSeconds = LIST_LAG_SECONDS;
+  readonly repairSeconds = MEMBERSHIP_LAG_SECONDS;
   readonly moveSeconds = 1;
 
-  place({ owners, present, leaving }: StrategyView): Placed[] {
+  place({ owners, present, leaving }: StrategyView): Placement[] {
     const ring = [...present]
       .filter((backend) => !leaving.has(backend))
       .flatMap((backend) => ringPoints(backend))
@@ -108,29 +108,29 @@
 }
 
 function ringPoints(backend: number): { readonly place: number; readonly backend: number }[] {
-  return Array.from({ length: RING_POINTS }, (_, point) => {
+  return Array.from({ length: RING_POINTS_PER_BACKEND }, (_, point) => {
     return { place: shardOfKey('ring', `backend-${backend}/${point}`, RING_SIZE), backend };
   });
 }
 
-/** As scripts do: any live machine at random, found out by time-outs, never balanced. */
+/** Placement as scripts do it: a random live machine, losses detected by timeouts, no balancing. */
 class RandomPlacement implements Strategy {
-  readonly repairSeconds = BLIND_RETRY_SECONDS;
+  readonly repairSeconds = TIMEOUT_DETECTION_SECONDS;
   readonly moveSeconds = 1;
 
   constructor(private readonly random: Random) {}
 
-  place({ owners, present, leaving }: StrategyView): Placed[] {
+  place({ owners, present, leaving }: StrategyView): Placement[] {
     const usable = [...present].filter((backend) => !leaving.has(backend));
     if (usable.length === 0) return [];
     return owners.flatMap((owner, shard) => {
-      const stays = owner !== null && present.has(owner) && !leaving.has(owner);
-      return stays ? [] : [{ shard, backend: this.random.pick(usable) }];
+      const keepsOwner = owner !== null && present.has(owner) && !leaving.has(owner);
+      return keepsOwner ? [] : [{ shard, backend: this.random.pick(usable) }];
     });
   }
 }
 
-/** All strategies by name. */
+/** Strategies by name. */
 export const STRATEGIES: Readonly<Record<string, StrategyMaker>> = {
   'aldertide-imigongo': () => new PlannerStrategy(1.1, 120),
   'aldertide-antwerp': () => new PlannerStrategy(1.3, 30),
