--- a/lab/cli/fleet-commands.ts
+++ b/lab/cli/fleet-commands.ts
@@ -65,7 +65,7 @@
   const seed = numberOption(options, 'seed', 1) ?? 1;
   const plan = await planFleet(deployment.val, folderOf(options, deployment.val), seed, PROGRAMS);
   const fleet = new Fleet(plan);
-  await fleet.up();
+  await fleet.start();
   const operators = [...plan.operators.values()].map((address) => formatAddress(address)).join(',');
   printLine(`operators: --control ${operators} --token-file ${plan.tokenFile}`);
   for (const [name, address] of plan.callerAddresses) printLine(`${name}: http://${formatAddress(address)}`);
@@ -73,7 +73,7 @@
     process.once('SIGTERM', resolve);
     process.once('SIGINT', resolve);
   });
-  await fleet.down();
+  await fleet.stop();
   return EXIT_CODE.done;
 }
 
--- a/lab/fleet/deployment.ts
+++ b/lab/fleet/deployment.ts
@@ -1,4 +1,4 @@
-/** A whole deployment in one file: places, daemons, services, traffic. */
+/** Deployment file: zones, daemons, services and traffic. */
 import { z } from 'zod';
 import { configurationSchema } from '../../src/config/configuration.js';
 import { readYamlFile, type FileProblem } from '../../src/config/yaml-file.js';
@@ -6,14 +6,14 @@
 
 const name = z.string().regex(/^[a-z][a-z0-9-]{0,62}$/, 'lower-case letters, digits and dashes');
 
-const placedSchema = z.strictObject({ name, zone: name });
+const zoneMemberSchema = z.strictObject({ name, zone: name });
 
 const serviceSchema = z.strictObject({
-  /** As in a configuration file, without back ends. */
+  /** Service settings as in a configuration file, without back ends. */
   configuration: z.record(z.string(), z.unknown()),
   /** Back ends and their zones. */
-  backends: z.array(placedSchema).min(1),
-  /** Mean time that a stand-in works on a request, in ms. */
+  backends: z.array(zoneMemberSchema).min(1),
+  /** Mean time for which a test back end processes a request, in ms. */
   workMs: z.number().positive().default(3),
   coldMs: z.number().min(0).default(500),
   coldFactor: z.number().min(1).default(3),
@@ -32,27 +32,27 @@
 export const deploymentSchema = z.strictObject({
   name,
   delays: z.strictObject({
-    /** One way between processes of different zones, in ms. */
+    /** One-way network latency between processes of different zones, in ms. */
     betweenZonesMs: z.number().min(0),
-    /** One way between callers and routers, in ms. */
+    /** One-way network latency between callers and routers, in ms. */
     toClientsMs: z.number().min(0),
   }),
   zones: z.array(name).min(1),
-  control: z.array(placedSchema).min(1),
-  routers: z.array(placedSchema).min(1),
+  control: z.array(zoneMemberSchema).min(1),
+  routers: z.array(zoneMemberSchema).min(1),
   sessionTermMs: z.number().int().min(200).default(1_500),
   callerDeadlineMs: z.number().int().min(1).default(2_000),
   services: z.record(name, serviceSchema),
 });
 
-/** A deployment. */
+/** Parsed deployment file. */
 export type Deployment = z.infer<typeof deploymentSchema>;
-/** A daemon and its place. */
-export type Placed = z.infer<typeof placedSchema>;
-/** A service of a deployment. */
+/** Name of a daemon or back end, and its zone. */
+export type ZoneMember = z.infer<typeof zoneMemberSchema>;
+/** Service of a deployment. */
 export type DeployedService = z.infer<typeof serviceSchema>;
 
-/** Reads a deployment file; the configuration in it is checked as `aldertide check` would. */
+/** Reads a deployment file and validates the configuration in it as `aldertide check` does. */
 export function readDeployment(file: string): Result<Deployment, FileProblem[]> {
   const read = readYamlFile(file, deploymentSchema);
   if (read.err) return read;
@@ -66,7 +66,7 @@
   );
 }
 
-/** The configuration document of a deployment, with the addresses that `addressOf` gives the back ends. */
+/** Builds the configuration document of a deployment, with the back-end addresses that `addressOf` returns. */
 export function buildConfiguration(
   deployment: Deployment,
   addressOf: (backend: string) => { host: string; port: number },
@@ -82,7 +82,7 @@
 
 let port = 0;
 
-/** Distinct ports for a check that opens none. */
+/** Returns distinct port numbers for validation, which opens no sockets. */
 function nextPort(): number {
   port = (port + 1) % 60_000;
   return port;
--- a/lab/fleet/faults.ts
+++ b/lab/fleet/faults.ts
@@ -1,20 +1,20 @@
-/** Faults that a run can bring about, each on processes that the lab started itself. */
+/** Faults that a run can inject, each only into processes that the lab started itself. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { Random } from '../random.js';
 import type { Fleet } from './fleet.js';
 import type { PlannedBackend } from './fleet-plan.js';
 
-/** A fault with its name and what it does. */
+/** Fault that can be injected. */
 export interface Fault {
   readonly name: string;
   readonly describe: string;
-  /** Brings the fault about and repairs it; returns what was hit. */
+  /** Injects the fault and repairs it; returns the name of the affected process. */
   readonly run: (fleet: Fleet, random: Random) => Promise<string>;
 }
 
 const OUTAGE_MS = 4_000;
 const SHORT_OUTAGE_MS = 2_000;
-const DRAIN_TIMEOUT_POLLS = 300;
+const MAX_DRAIN_POLLS = 300;
 const DRAIN_POLL_MS = 50;
 
 /** All faults. */
@@ -23,7 +23,7 @@
     name: 'kill-owner',
     describe: 'a back end of a keyed service and its agent are killed; both start again after 4 s',
     run: async (fleet, random) => {
-      const backend = await pickOwner(fleet, random);
+      const backend = await pickKeyedOwner(fleet, random);
       await Promise.all([fleet.process(backend.name).kill(), fleet.process(backend.agent).kill()]);
       await sleep(OUTAGE_MS);
       fleet.process(backend.name).start();
@@ -35,8 +35,8 @@
     name: 'freeze-owner',
     describe: 'a back end of a keyed service and its agent are frozen for 4 s and then go on',
     run: async (fleet, random) => {
-      const backend = await pickOwner(fleet, random);
-      await freeze(fleet, [backend.name, backend.agent], OUTAGE_MS);
+      const backend = await pickKeyedOwner(fleet, random);
+      await freezeProcesses(fleet, [backend.name, backend.agent], OUTAGE_MS);
       return backend.name;
     },
   },
@@ -44,8 +44,8 @@
     name: 'freeze-backend',
     describe: 'only the back end is frozen for 4 s; its agent goes on',
     run: async (fleet, random) => {
-      const backend = await pickOwner(fleet, random);
-      await freeze(fleet, [backend.name], OUTAGE_MS);
+      const backend = await pickKeyedOwner(fleet, random);
+      await freezeProcesses(fleet, [backend.name], OUTAGE_MS);
       return backend.name;
     },
   },
@@ -53,7 +53,7 @@
     name: 'kill-agent',
     describe: 'only the agent of a back end is killed; it starts again after 4 s',
     run: async (fleet, random) => {
-      const backend = await pickOwner(fleet, random);
+      const backend = await pickKeyedOwner(fleet, random);
       await fleet.process(backend.agent).kill();
       await sleep(OUTAGE_MS);
       fleet.process(backend.agent).start();
@@ -76,7 +76,7 @@
     describe: 'the leading control replica is frozen for 4 s and then goes on',
     run: async (fleet) => {
       const leader = await requireLeader(fleet);
-      await freeze(fleet, [leader], OUTAGE_MS);
+      await freezeProcesses(fleet, [leader], OUTAGE_MS);
       return leader;
     },
   },
@@ -126,31 +126,31 @@
     describe: 'a router is frozen for 2 s and then goes on',
     run: async (fleet, random) => {
       const router = random.pick(fleet.names('router'));
-      await freeze(fleet, [router], SHORT_OUTAGE_MS);
+      await freezeProcesses(fleet, [router], SHORT_OUTAGE_MS);
       return router;
     },
   },
 ];
 
-/** A fault by name. */
+/** Returns the fault of this name. */
 export function findFault(name: string): Fault | undefined {
   return FAULTS.find((fault) => fault.name === name);
 }
 
-/** A back end that owns shards of a keyed service at present. */
-async function pickOwner(fleet: Fleet, random: Random): Promise<PlannedBackend> {
-  const keyed = new Set(keyedServices(fleet.plan.configuration));
-  const owning = (await fleet.statuses())
+/** Picks a back end that currently owns shards of a keyed service. */
+async function pickKeyedOwner(fleet: Fleet, random: Random): Promise<PlannedBackend> {
+  const keyedNames = new Set(keyedServices(fleet.plan.configuration));
+  const owners = (await fleet.statuses())
     .filter((status) => status.role === 'leader')
     .flatMap((status) => status.backends)
-    .filter((backend) => backend.shards > 0 && keyed.has(backend.service));
-  const name = random.pick(owning).backend;
+    .filter((backend) => backend.shards > 0 && keyedNames.has(backend.service));
+  const name = random.pick(owners).backend;
   const planned = fleet.plan.backends.find((backend) => backend.name === name);
   if (planned === undefined) throw new Error(`the fleet has no back end ${name}`);
   return planned;
 }
 
-/** Services that are divided by key. */
+/** Returns the names of the services that are divided by key. */
 export function keyedServices(configuration: unknown): string[] {
   const { services } = configuration as { services: Record<string, { division: string }> };
   return Object.keys(services).filter((name) => services[name]?.division === 'keyed');
@@ -162,7 +162,7 @@
   return leader;
 }
 
-async function freeze(fleet: Fleet, names: readonly string[], ms: number): Promise<void> {
+async function freezeProcesses(fleet: Fleet, names: readonly string[], ms: number): Promise<void> {
   for (const name of names) fleet.process(name).signal('SIGSTOP');
   await sleep(ms);
   for (const name of names) fleet.process(name).signal('SIGCONT');
@@ -172,20 +172,20 @@
   const leader = await requireLeader(fleet);
   fleet.cut(leader, directions);
   await sleep(OUTAGE_MS);
-  fleet.heal(leader);
+  fleet.endCuts(leader);
   return leader;
 }
 
 async function drain(fleet: Fleet, backend: PlannedBackend): Promise<void> {
-  await callOperator(fleet, 'PUT', backend.name);
-  for (let poll = 0; poll < DRAIN_TIMEOUT_POLLS && !(await isEmpty(fleet, backend.name)); poll += 1) {
+  await setDraining(fleet, 'PUT', backend.name);
+  for (let poll = 0; poll < MAX_DRAIN_POLLS && !(await isEmpty(fleet, backend.name)); poll += 1) {
     await sleep(DRAIN_POLL_MS);
   }
   await fleet.process(backend.agent).stop();
   await fleet.process(backend.name).stop();
   fleet.process(backend.name).start();
   fleet.process(backend.agent).start();
-  await callOperator(fleet, 'DELETE', backend.name);
+  await setDraining(fleet, 'DELETE', backend.name);
 }
 
 async function isEmpty(fleet: Fleet, backend: string): Promise<boolean> {
@@ -193,7 +193,7 @@
   return leader?.backends.find((status) => status.backend === backend)?.shards === 0;
 }
 
-async function callOperator(fleet: Fleet, method: 'PUT' | 'DELETE', backend: string): Promise<void> {
+async function setDraining(fleet: Fleet, method: 'PUT' | 'DELETE', backend: string): Promise<void> {
   const answer = await fleet.operator.call(method, `backends/${backend}/drain`);
   if (answer.err) throw new Error(`drain of ${backend}: ${answer.val.message}`);
 }
--- a/lab/fleet/fleet-plan.ts
+++ b/lab/fleet/fleet-plan.ts
@@ -1,35 +1,35 @@
-/** Works out the processes, addresses, relays and settings files of a deployment on one machine. */
+/** Plans the processes, addresses, relays and settings files of a deployment on one machine. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { randomBytes } from 'node:crypto';
 import { join } from 'node:path';
 import { stringify } from 'yaml';
 import type { SocketAddress } from '../../src/model/socket-address.js';
-import { buildConfiguration, type Deployment, type DeployedService, type Placed } from './deployment.js';
+import { buildConfiguration, type Deployment, type DeployedService, type ZoneMember } from './deployment.js';
 import { findFreePorts } from './ports.js';
 import type { RelayLink } from './relay.js';
 
-/** What a process of a fleet is. */
+/** Role of a process of a fleet. */
 export type ProcessRole = 'control' | 'agent' | 'router' | 'backend';
 
-/** One process to start. */
+/** Process to start. */
 export interface PlannedProcess {
   readonly name: string;
   readonly zone: string;
   readonly role: ProcessRole;
   /** Program and arguments after `node`. */
   readonly arguments: readonly string[];
-  /** Folder that it keeps data in; null when it has none. */
+  /** Data folder of the process; null when it has none. */
   readonly dataFolder: string | null;
 }
 
-/** One relay to start. */
+/** Relay to start. */
 export interface PlannedRelay {
   readonly link: RelayLink;
   readonly listen: SocketAddress;
   readonly target: SocketAddress;
 }
 
-/** A back end and its agent, which stand on the same machine. */
+/** Back end and its agent, which run on the same machine. */
 export interface PlannedBackend {
   readonly service: string;
   readonly name: string;
@@ -37,7 +37,7 @@
   readonly journal: string;
 }
 
-/** A whole fleet. */
+/** Plan of a whole fleet. */
 export interface FleetPlan {
   readonly folder: string;
   readonly tokenFile: string;
@@ -45,16 +45,16 @@
   readonly processes: readonly PlannedProcess[];
   readonly relays: readonly PlannedRelay[];
   readonly backends: readonly PlannedBackend[];
-  /** Operator interfaces by control replica. */
+  /** Address of the operator interface of each control replica. */
   readonly operators: ReadonlyMap<string, SocketAddress>;
-  /** Where callers reach each router. */
+  /** Address at which callers reach each router, through a relay. */
   readonly callerAddresses: ReadonlyMap<string, SocketAddress>;
-  /** Where each router listens. */
+  /** Address on which each router listens. */
   readonly routerAddresses: ReadonlyMap<string, SocketAddress>;
   readonly configuration: unknown;
 }
 
-/** Programs, as paths from the root of the repository. */
+/** Paths of the programs that a fleet starts. */
 export interface ProgramPaths {
   readonly aldertide: string;
   readonly lab: string;
@@ -62,7 +62,7 @@
 
 const TOKEN_BYTES = 24;
 
-/** Name under which callers stand in relays. */
+/** Name that represents the callers in relays. */
 export const CALLERS = 'callers';
 
 /** Plans a fleet and writes its settings files into `folder`. */
@@ -97,11 +97,11 @@
     writeFileSync(this.tokenFile, `${this.token}\n`, { mode: 0o600 });
     this.free = await findFreePorts(this.countPorts());
     const { control, routers, services } = this.deployment;
-    const controlAddresses = this.takeFor(control);
-    const operators = this.takeFor(control);
-    const routerAddresses = this.takeFor(routers);
-    const placed = Object.values(services).flatMap((service) => service.backends);
-    const backendAddresses = this.takeFor(placed);
+    const controlAddresses = this.takeAddresses(control);
+    const operators = this.takeAddresses(control);
+    const routerAddresses = this.takeAddresses(routers);
+    const backendMembers = Object.values(services).flatMap((service) => service.backends);
+    const backendAddresses = this.takeAddresses(backendMembers);
     for (const replica of control) this.planControl(replica, controlAddresses, operators);
     const backends = this.planBackends(backendAddresses, controlAddresses);
     for (const router of routers)
@@ -135,28 +135,28 @@
     return controlLinks + routerLinks + listeners;
   }
 
-  private take(): SocketAddress {
+  private takeAddress(): SocketAddress {
     const address = this.free.pop();
     if (address === undefined) throw new Error('invariant broken: too few ports were planned');
     return address;
   }
 
-  private takeFor(placed: readonly Placed[]): Map<string, SocketAddress> {
-    return new Map(placed.map(({ name }) => [name, this.take()]));
+  private takeAddresses(placed: readonly ZoneMember[]): Map<string, SocketAddress> {
+    return new Map(placed.map(({ name }) => [name, this.takeAddress()]));
   }
 
-  /** Adds a relay and returns where the dialing process reaches its target. */
-  private relay(from: Placed, to: Placed, target: SocketAddress): SocketAddress {
-    const listen = this.take();
+  /** Adds a relay and returns the address at which the dialing process reaches its target. */
+  private addRelay(from: ZoneMember, to: ZoneMember, target: SocketAddress): SocketAddress {
+    const listen = this.takeAddress();
     const delayMs = from.zone === to.zone ? 0 : this.deployment.delays.betweenZonesMs;
     this.relays.push({ link: { from: from.name, to: to.name, delayMs }, listen, target });
     return listen;
   }
 
-  private controlFor(from: Placed, addresses: ReadonlyMap<string, SocketAddress>): object[] {
+  private controlMembersFor(from: ZoneMember, addresses: ReadonlyMap<string, SocketAddress>): object[] {
     return this.deployment.control.map((replica) => {
       const target = addressOf(addresses, replica.name);
-      const address = replica.name === from.name ? target : this.relay(from, replica, target);
+      const address = replica.name === from.name ? target : this.addRelay(from, replica, target);
       return { name: replica.name, address };
     });
   }
@@ -169,18 +169,18 @@
 
   private daemon(
     role: 'control' | 'agent' | 'router',
-    placed: Placed,
+    placed: ZoneMember,
     settings: object,
     dataFolder: string | null,
   ): void {
     const { name, zone } = placed;
     const file = this.settings(name, { name, zone, tokenFile: this.tokenFile, ...settings });
-    const given = [this.programs.aldertide, role, '--settings', file];
-    this.processes.push({ name, zone, role, arguments: given, dataFolder });
+    const programArguments = [this.programs.aldertide, role, '--settings', file];
+    this.processes.push({ name, zone, role, arguments: programArguments, dataFolder });
   }
 
   private planControl(
-    replica: Placed,
+    replica: ZoneMember,
     addresses: ReadonlyMap<string, SocketAddress>,
     operators: ReadonlyMap<string, SocketAddress>,
   ): void {
@@ -189,7 +189,7 @@
       dataFolder,
       listen: addressOf(addresses, replica.name),
       operator: addressOf(operators, replica.name),
-      members: this.controlFor(replica, addresses),
+      members: this.controlMembersFor(replica, addresses),
       timing: { sessionTermMs: this.deployment.sessionTermMs },
     };
     this.daemon('control', replica, settings, dataFolder);
@@ -209,7 +209,7 @@
   private planBackend(
     serviceName: string,
     service: DeployedService,
-    backend: Placed,
+    backend: ZoneMember,
     addresses: ReadonlyMap<string, SocketAddress>,
     control: ReadonlyMap<string, SocketAddress>,
   ): PlannedBackend {
@@ -224,9 +224,9 @@
     });
     const agent = { name: `agent-${backend.name}`, zone: backend.zone };
     const settings = {
-      listen: this.take(),
-      management: this.take(),
-      control: this.controlFor(agent, control),
+      listen: this.takeAddress(),
+      management: this.takeAddress(),
+      control: this.controlMembersFor(agent, control),
       service: serviceName,
       backend: backend.name,
       backendAddress: address,
@@ -239,7 +239,7 @@
   private backendArguments(
     serviceName: string,
     service: DeployedService,
-    backend: Placed,
+    backend: ZoneMember,
     address: SocketAddress,
     journal: string,
   ): string[] {
@@ -264,20 +264,20 @@
   }
 
   private planRouter(
-    router: Placed,
+    router: ZoneMember,
     routerAddresses: ReadonlyMap<string, SocketAddress>,
     backendAddresses: ReadonlyMap<string, SocketAddress>,
     control: ReadonlyMap<string, SocketAddress>,
   ): void {
-    const placed = Object.values(this.deployment.services).flatMap((service) => service.backends);
-    const reached = placed.map((backend) => {
-      return [backend.name, this.relay(router, backend, addressOf(backendAddresses, backend.name))];
+    const backendMembers = Object.values(this.deployment.services).flatMap((service) => service.backends);
+    const relayAddresses = backendMembers.map((backend) => {
+      return [backend.name, this.addRelay(router, backend, addressOf(backendAddresses, backend.name))];
     });
     const settings = {
       listen: addressOf(routerAddresses, router.name),
-      control: this.controlFor(router, control),
+      control: this.controlMembersFor(router, control),
       routers: this.deployment.routers.length,
-      backendAddresses: Object.fromEntries(reached) as unknown,
+      backendAddresses: Object.fromEntries(relayAddresses) as unknown,
     };
     this.daemon('router', router, settings, null);
   }
@@ -286,7 +286,7 @@
     const { routers, delays } = this.deployment;
     return new Map(
       routers.map((router) => {
-        const listen = this.take();
+        const listen = this.takeAddress();
         const target = addressOf(routerAddresses, router.name);
         const link = { from: CALLERS, to: router.name, delayMs: delays.toClientsMs };
         this.relays.push({ link, listen, target });
--- a/lab/fleet/fleet-run.ts
+++ b/lab/fleet/fleet-run.ts
@@ -1,4 +1,4 @@
-/** Runs a deployment under load and faults, then judges every promise and measures. */
+/** Runs a deployment under load and faults, then checks every guarantee and computes the measurements. */
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { readFileSync, writeFileSync } from 'node:fs';
@@ -11,19 +11,19 @@
 import { Random } from '../random.js';
 import type { Deployment } from './deployment.js';
 import { findFault, keyedServices } from './faults.js';
-import { everythingOwned, Fleet } from './fleet.js';
+import { isSettled, Fleet } from './fleet.js';
 import { planFleet, type ProgramPaths } from './fleet-plan.js';
-import { judge, type Violation } from './judge.js';
+import { findViolations, type Violation } from './judge.js';
 import { ManagedProcess } from './managed-process.js';
 
-/** A fault and when it starts. */
+/** Fault and its start time. */
 export interface ScheduledFault {
   readonly name: string;
   /** Seconds after the start of the load. */
   readonly atSeconds: number;
 }
 
-/** What a run does. */
+/** Options of a run. */
 export interface FleetRunOptions {
   readonly deployment: Deployment;
   readonly folder: string;
@@ -35,14 +35,14 @@
   readonly programs: ProgramPaths;
 }
 
-/** A fault that took place. */
+/** Fault that was injected. */
 export interface FaultReport {
   readonly name: string;
   readonly atSeconds: number;
   readonly target: string;
 }
 
-/** Result of a run; the last line of `fleet run --json`. */
+/** Result of a run; printed as the last line of `fleet run --json`. */
 export interface FleetRunReport {
   readonly deployment: string;
   readonly seed: number;
@@ -51,9 +51,9 @@
   readonly refused: number;
   readonly unknown: number;
   readonly violations: readonly Violation[];
-  /** Per shard and outage; see docs/MEASURES.md. */
+  /** Unavailable time per shard and outage; see docs/MEASURES.md. */
   readonly unavailableMs: { readonly p50: number; readonly p99: number; readonly max: number };
-  /** Of requests run by the back ends of the keyed services; the worst service. */
+  /** Imbalance of the requests run by the back ends of a keyed service; the largest over all such services. */
   readonly imbalance: number;
   /** Changes of owner during the run. */
   readonly churn: number;
@@ -61,13 +61,13 @@
   readonly p50Ms: number;
   readonly p99Ms: number;
   readonly sendings: number;
-  /** Sendings that were not answered, by what the caller was told. */
+  /** Number of sendings that were not answered, by outcome and detail as the caller saw them. */
   readonly refusals: Readonly<Record<string, number>>;
 }
 
 const SETTLE_MS = 1_000;
 
-/** Runs a fleet from start to end. */
+/** Starts a fleet, runs load and faults, stops the fleet and returns the report. */
 export async function runFleet(
   options: FleetRunOptions,
   log: (line: string) => void,
@@ -76,20 +76,18 @@
   const fleet = new Fleet(plan);
   try {
     log(`starting ${plan.processes.length} processes; logs are in ${plan.folder}`);
-    await fleet.up();
+    await fleet.start();
     const before = await fleet.snapshot();
     const load = startLoad(options, fleet);
     log(`load for ${options.seconds} s`);
     const [faults] = await Promise.all([runFaults(options, fleet, log), load.finished]);
     await sleep(SETTLE_MS);
-    await fleet.waitFor('the fleet has settled', (statuses) =>
-      everythingOwned(statuses, fleet.names('router')),
-    );
+    await fleet.waitFor('the fleet has settled', (statuses) => isSettled(statuses, fleet.names('router')));
     const after = await fleet.snapshot();
-    await fleet.down();
-    return report(options, fleet, load.read(), { before, after }, faults);
+    await fleet.stop();
+    return buildReport(options, fleet, load.read(), { before, after }, faults);
   } catch (error) {
-    await fleet.abandon();
+    await fleet.killAll();
     throw error;
   }
 }
@@ -104,8 +102,8 @@
   const settings = join(options.folder, 'load.json');
   const summary = join(options.folder, 'load-summary.json');
   writeFileSync(settings, JSON.stringify(loadOptions(options, fleet, journal)));
-  const given = [options.programs.lab, 'load', '--settings', settings, '--summary', summary];
-  const process = new ManagedProcess('load', given, join(options.folder, 'load.log'));
+  const programArguments = [options.programs.lab, 'load', '--settings', settings, '--summary', summary];
+  const process = new ManagedProcess('load', programArguments, join(options.folder, 'load.log'));
   process.start();
   const finished = process.finished().then((code) => {
     if (code !== 0)
@@ -154,7 +152,7 @@
   );
 }
 
-function report(
+function buildReport(
   options: FleetRunOptions,
   fleet: Fleet,
   load: ReturnType<RunningLoad['read']>,
@@ -173,13 +171,13 @@
     answered,
     refused,
     unknown,
-    violations: judge([...executed, ...load.sendings]),
+    violations: findViolations([...executed, ...load.sendings]),
     unavailableMs: {
       p50: percentile(outages, 0.5),
       p99: percentile(outages, 0.99),
       max: Math.max(0, ...outages),
     },
-    imbalance: worstImbalance(keyedServices(fleet.plan.configuration), executions, fleet),
+    imbalance: maxImbalance(keyedServices(fleet.plan.configuration), executions, fleet),
     churn: sumOfEpochs(states.after) - sumOfEpochs(states.before),
     faults,
     p50Ms,
@@ -193,17 +191,21 @@
   const shards = new Map<string, SendingRecord[]>();
   for (const sending of sendings) {
     if (sending.shard === null) continue;
-    const place = `${sending.service}/${sending.shard}`;
-    shards.set(place, [...(shards.get(place) ?? []), sending]);
+    const shardName = `${sending.service}/${sending.shard}`;
+    shards.set(shardName, [...(shards.get(shardName) ?? []), sending]);
   }
-  return [...shards.values()].flatMap((uses) => {
+  return [...shards.values()].flatMap((shardSendings) => {
     return unavailableDurations(
-      uses.map(({ sentMs, endedMs, outcome }) => ({ sentMs, endedMs, answered: outcome === 'answered' })),
+      shardSendings.map(({ sentMs, endedMs, outcome }) => ({
+        sentMs,
+        endedMs,
+        answered: outcome === 'answered',
+      })),
     );
   });
 }
 
-function worstImbalance(
+function maxImbalance(
   services: readonly string[],
   executions: readonly ExecutionRecord[],
   fleet: Fleet,
--- a/lab/fleet/fleet.ts
+++ b/lab/fleet/fleet.ts
@@ -1,4 +1,4 @@
-/** A running deployment: its processes, relays, and the operator's view of it. */
+/** Running deployment: its processes and relays, and access to its operator interface. */
 import { rmSync } from 'node:fs';
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -13,7 +13,7 @@
 const READY_TIMEOUT_MS = 40_000;
 const READY_POLL_MS = 100;
 
-/** A running fleet. */
+/** Starts, controls and stops the processes of a fleet. */
 export class Fleet {
   readonly operator: OperatorClient;
   private readonly processes = new Map<string, ManagedProcess>();
@@ -29,8 +29,8 @@
     }
   }
 
-  /** Starts everything, submits the configuration and waits until every shard has an owner. */
-  async up(): Promise<void> {
+  /** Starts all relays and processes, submits the configuration and waits until every shard has an owner. */
+  async start(): Promise<void> {
     for (const planned of this.plan.relays) {
       const relay = new Relay(
         planned.link,
@@ -47,13 +47,11 @@
     const submission = { submissionId: 'first', baseRevision: 0, document: this.plan.configuration };
     const applied = await this.operator.call('PUT', 'configuration', submission);
     if (applied.err) throw new Error(`the configuration was not accepted: ${applied.val.message}`);
-    await this.waitFor('every shard has an owner', (statuses) =>
-      everythingOwned(statuses, this.routerNames()),
-    );
+    await this.waitFor('every shard has an owner', (statuses) => isSettled(statuses, this.routerNames()));
   }
 
-  /** Stops everything; callers' side first, so that nothing is cut off. */
-  async down(): Promise<void> {
+  /** Stops all processes, routers first, so that no request is interrupted. */
+  async stop(): Promise<void> {
     const order: readonly PlannedProcess['role'][] = ['router', 'agent', 'backend', 'control'];
     for (const role of order) {
       const ofRole = this.plan.processes.filter((planned) => planned.role === role);
@@ -62,25 +60,25 @@
     for (const relay of this.relays) relay.close();
   }
 
-  /** Kills everything at once; for when a run has failed. */
-  async abandon(): Promise<void> {
+  /** Kills all processes at once, after a failed run. */
+  async killAll(): Promise<void> {
     await Promise.all([...this.processes.values()].map((process) => process.kill()));
     for (const relay of this.relays) relay.close();
   }
 
-  /** A process by name. */
+  /** Returns the process of this name. */
   process(name: string): ManagedProcess {
     const process = this.processes.get(name);
     if (process === undefined) throw new Error(`the fleet has no process ${name}`);
     return process;
   }
 
-  /** Names of all processes of a role. */
+  /** Returns the names of all processes of a role. */
   names(role: PlannedProcess['role']): string[] {
     return this.plan.processes.filter((planned) => planned.role === role).map(({ name }) => name);
   }
 
-  /** Holds back all bytes from a process, to it, or both. */
+  /** Holds back all bytes that a process sends, or those in both directions. */
   cut(name: string, directions: 'both' | 'outgoing'): void {
     for (const other of this.processes.keys()) {
       if (other === name) continue;
@@ -89,8 +87,8 @@
     }
   }
 
-  /** Ends all cuts of a process. */
-  heal(name: string): void {
+  /** Ends all cuts that affect a process. */
+  endCuts(name: string): void {
     for (const direction of [...this.cutDirections]) {
       const [from, to] = direction.split('>');
       if (from === name || to === name) this.cutDirections.delete(direction);
@@ -103,7 +101,7 @@
     if (planned?.dataFolder != null) rmSync(planned.dataFolder, { recursive: true, force: true });
   }
 
-  /** Name of the replica that leads, by what the replicas say; null when none does. */
+  /** Returns the name of the leader with the highest term among the replicas' statuses; null when there is none. */
   async leader(): Promise<string | null> {
     const statuses = await this.statuses();
     const leading = statuses.filter((status) => status.role === 'leader');
@@ -113,27 +111,27 @@
     return newest?.replica.split('/')[0] ?? null;
   }
 
-  /** Status of every replica that answers. */
+  /** Returns the status of every replica that answers. */
   async statuses(): Promise<ControlStatus[]> {
     const answers = await this.operator.callEach('status');
     return answers.map(([, status]) => status as ControlStatus);
   }
 
-  /** The replicated state, from the leader. */
+  /** Returns the replicated state, as the leader reports it. */
   async snapshot(): Promise<StateDocument> {
     const answer = await this.operator.call('GET', 'snapshot');
     if (answer.err) throw new Error(`no state could be read: ${answer.val.message}`);
     return answer.val as StateDocument;
   }
 
-  /** Waits until the statuses satisfy `condition`. */
+  /** Waits until the statuses satisfy `condition`; throws after `READY_TIMEOUT_MS`. */
   async waitFor(what: string, condition: (statuses: readonly ControlStatus[]) => boolean): Promise<void> {
-    const untilMs = performance.now() + READY_TIMEOUT_MS;
-    while (performance.now() < untilMs) {
+    const deadlineMs = performance.now() + READY_TIMEOUT_MS;
+    while (performance.now() < deadlineMs) {
       if (condition(await this.statuses())) return;
       await sleep(READY_POLL_MS);
     }
-    throw new Error(`did not come about in time: ${what}; see the logs in ${this.plan.folder}`);
+    throw new Error(`timed out waiting for: ${what}; see the logs in ${this.plan.folder}`);
   }
 
   private routerNames(): string[] {
@@ -141,15 +139,15 @@
   }
 }
 
-/** Every shard is owned, nothing is moving, and every router is up to date. */
-export function everythingOwned(statuses: readonly ControlStatus[], routers: readonly string[]): boolean {
+/** Whether every shard is owned, no shard is moving, every back end has a session and every router is up to date. */
+export function isSettled(statuses: readonly ControlStatus[], routers: readonly string[]): boolean {
   const leader = statuses.find((status) => status.role === 'leader');
   if (leader === undefined || leader.services.length === 0) return false;
-  const settled = leader.services.every((service) => service.unowned === 0 && service.moving === 0);
-  const allHere = leader.backends.every((backend) => backend.session !== null);
+  const allOwned = leader.services.every((service) => service.unowned === 0 && service.moving === 0);
+  const allRegistered = leader.backends.every((backend) => backend.session !== null);
   const watchers = statuses.flatMap((status) => status.watchers);
   const routersCurrent = routers.every((name) => {
     return watchers.some((watcher) => watcher.name === name && watcher.revision === leader.revision);
   });
-  return settled && allHere && routersCurrent;
+  return allOwned && allRegistered && routersCurrent;
 }
--- a/lab/fleet/managed-process.ts
+++ b/lab/fleet/managed-process.ts
@@ -1,38 +1,38 @@
-/** A process that the lab started; signals go to its pid and to no other. */
+/** Child process of the lab; signals are sent only to its own pid. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { openSync, closeSync } from 'node:fs';
 
-/** Time in ms that a process has to stop cleanly before it is killed. */
+/** Time in ms after which a process that has not stopped cleanly is killed. */
 const STOP_TIMEOUT_MS = 15_000;
 
-/** A process of a fleet. */
+/** Process of a fleet, which can be started again after it has ended. */
 export class ManagedProcess {
   private child: ChildProcess | null = null;
   private exited: Promise<number | null> = Promise.resolve(null);
 
   constructor(
     readonly name: string,
-    private readonly given: readonly string[],
+    private readonly programArguments: readonly string[],
     private readonly logFile: string,
-    /** Variables beside those of this process. */
+    /** Environment variables added to those of this process. */
     private readonly environment: Readonly<Record<string, string>> = {},
   ) {}
 
-  /** Whether it runs, frozen or not. */
+  /** Whether the process is running; true also while it is frozen. */
   get running(): boolean {
     return this.child?.exitCode === null && this.child.signalCode === null;
   }
 
-  /** Pid of the present process. */
+  /** Pid of the process started last. */
   get pid(): number | undefined {
     return this.child?.pid;
   }
 
-  /** Starts it; its output goes to the end of the log file. */
+  /** Starts the process; its output is appended to the log file. */
   start(): void {
     const log = openSync(this.logFile, 'a');
     const env = { ...process.env, ...this.environment };
-    const child = spawn(process.execPath, [...this.given], { stdio: ['ignore', log, log], env });
+    const child = spawn(process.execPath, [...this.programArguments], { stdio: ['ignore', log, log], env });
     closeSync(log);
     this.child = child;
     this.exited = new Promise((resolve) => {
@@ -42,23 +42,23 @@
     });
   }
 
-  /** Sends a signal if it runs. */
+  /** Sends a signal if the process is running. */
   signal(signal: NodeJS.Signals): void {
     if (this.running) this.child?.kill(signal);
   }
 
-  /** Waits until it has ended by itself; returns its exit code, null after a signal. */
+  /** Waits until the process has ended; returns its exit code, null after a signal. */
   async finished(): Promise<number | null> {
     return await this.exited;
   }
 
-  /** Kills it at once and waits until it is gone. */
+  /** Kills the process and waits until it has ended. */
   async kill(): Promise<void> {
     this.signal('SIGKILL');
     await this.exited;
   }
 
-  /** Asks it to stop, waits, and kills it only when it does not; returns its exit code. */
+  /** Sends SIGTERM, kills the process after `STOP_TIMEOUT_MS`, and returns its exit code. */
   async stop(): Promise<number | null> {
     if (!this.running) return await this.exited;
     this.signal('SIGCONT');
--- a/lab/fleet/ports.ts
+++ b/lab/fleet/ports.ts
@@ -1,11 +1,11 @@
-/** Free ports on loopback. */
+/** Finds free ports on the loopback interface. */
 import { createServer, type AddressInfo } from 'node:net';
 import type { SocketAddress } from '../../src/model/socket-address.js';
 
-/** The only host that a fleet uses. */
+/** Host on which all processes of a fleet listen. */
 export const LOOPBACK = '127.0.0.1';
 
-/** Finds `count` free ports; all are held open until the last is found, so that they differ. */
+/** Finds `count` free ports; all are held open until the last is found, so that they are distinct. */
 export async function findFreePorts(count: number): Promise<SocketAddress[]> {
   const servers = Array.from({ length: count }, () => createServer());
   await Promise.all(
--- a/lab/fleet/relay.ts
+++ b/lab/fleet/relay.ts
@@ -1,26 +1,26 @@
 /**
- * Relays between the processes of a fleet. Each pair of a dialing process and a listener has a relay of its
- * own, so that every direction can be delayed or cut by itself. A cut holds the bytes back, as a network
- * does for TCP: when it heals they arrive.
+ * Relays between the processes of a fleet. Each pair of a dialing and a listening process has its own relay, so that
+ * each direction can be delayed or cut separately. A cut holds the bytes back, as a network partition does for TCP:
+ * they arrive once the cut has ended.
  */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import type { SocketAddress } from '../../src/model/socket-address.js';
 import { DelayedDirection } from '../delayed-direction.js';
 
-/** The two processes that a relay joins. */
+/** The two processes that a relay connects. */
 export interface RelayLink {
-  /** Process that dials. */
+  /** Name of the dialing process. */
   readonly from: string;
-  /** Process that listens. */
+  /** Name of the listening process. */
   readonly to: string;
-  /** One way, in ms. */
+  /** One-way latency, in ms. */
   readonly delayMs: number;
 }
 
-/** Decides whether bytes may pass from one process to another now. */
+/** Whether bytes may currently pass from one process to another. */
 export type MayPass = (from: string, to: string) => boolean;
 
-/** One relay. */
+/** TCP relay of one link. */
 export class Relay {
   private readonly sockets = new Set<Socket>();
   private readonly server: Server;
@@ -35,7 +35,7 @@
     });
   }
 
-  /** Starts to listen. */
+  /** Starts listening. */
   async listen(address: SocketAddress): Promise<void> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
@@ -43,7 +43,7 @@
     });
   }
 
-  /** Closes everything. */
+  /** Closes the listener and all connections. */
   close(): void {
     this.server.close();
     for (const socket of this.sockets) socket.destroy();
@@ -52,11 +52,17 @@
   private join(dialer: Socket): void {
     const { from, to, delayMs } = this.link;
     const listener = connect({ host: this.target.host, port: this.target.port, allowHalfOpen: true });
-    const out = new DelayedDirection(dialer, listener, () => ({ delayMs, held: !this.mayPass(from, to) }));
-    const back = new DelayedDirection(listener, dialer, () => ({ delayMs, held: !this.mayPass(to, from) }));
+    const toListener = new DelayedDirection(dialer, listener, () => ({
+      delayMs,
+      held: !this.mayPass(from, to),
+    }));
+    const toDialer = new DelayedDirection(listener, dialer, () => ({
+      delayMs,
+      held: !this.mayPass(to, from),
+    }));
     const close = (): void => {
-      out.stop();
-      back.stop();
+      toListener.stop();
+      toDialer.stop();
       dialer.destroy();
       listener.destroy();
       this.sockets.delete(dialer);
--- a/lab/sim/sim-run.ts
+++ b/lab/sim/sim-run.ts
@@ -1,5 +1,5 @@
 /** Runs one simulation from start to end and judges its history. */
-import { judge } from '../fleet/judge.js';
+import { findViolations } from '../fleet/judge.js';
 import type { ExecutionRecord } from '../journal.js';
 import { Random } from '../random.js';
 import { FaultRunner, type DrainedStretch } from './fault-runner.js';
@@ -110,7 +110,8 @@
   drained: readonly DrainedStretch[],
   sessionsAtStart: readonly number[],
 ): void {
-  for (const { promise, detail } of judge(world.journal)) world.violated({ invariant: promise, detail });
+  for (const { promise, detail } of findViolations(world.journal))
+    world.violated({ invariant: promise, detail });
   for (const violation of findWorkWhileDrained(world, drained)) world.violated(violation);
   judgeEnd(world);
   if (world.options.scenario.keepsOwners) judgeSessions(world, sessionsAtStart);
--- a/test/lab/judge.test.ts
+++ b/test/lab/judge.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import type { ExecutionRecord, JournalRecord, SendingRecord } from '../../lab/journal.js';
-import { judge } from '../../lab/fleet/judge.js';
+import { findViolations } from '../../lab/fleet/judge.js';
 
 function execution(given: Partial<ExecutionRecord>): ExecutionRecord {
   return {
@@ -87,7 +87,7 @@
 for (const { name, history, broken } of CASES) {
   test(`judge: ${name}`, (t) => {
     t.deepEqual(
-      judge(history).map(({ promise }) => promise),
+      findViolations(history).map(({ promise }) => promise),
       broken as never,
     );
   });
