--- a/lab/sim/sim-run.ts
+++ b/lab/sim/sim-run.ts
@@ -1,5 +1,5 @@
 /** Runs one simulation from start to end and checks its history. */
-import { judge } from '../fleet/judge.js';
+import { findViolations } from '../fleet/judge.js';
 import type { ExecutionRecord } from '../journal.js';
 import { Random } from '../random.js';
 import { FaultRunner, type DrainedInterval } from './fault-runner.js';
@@ -110,7 +110,7 @@
   drained: readonly DrainedInterval[],
   sessionsAtStart: readonly number[],
 ): void {
-  for (const { promise, detail } of judge(world.journal))
+  for (const { promise, detail } of findViolations(world.journal))
     world.recordViolation({ invariant: promise, detail });
   for (const violation of findWorkWhileDrained(world, drained)) world.recordViolation(violation);
   checkFinalState(world);
