--- a/src/control/session-service.ts
+++ b/src/control/session-service.ts
@@ -115,7 +115,7 @@
     }
     const { session } = result.val;
     if (this.closingSessions.has(session)) {
-      notify(connection, { kind: 'session-refused', openId, detail: 'the session is being closed' });
+      notify(connection, { kind: 'session-refused', openId, detail: 'the session is being ended' });
       return;
     }
     this.leases.renew(session, receivedMs);
--- a/src/directory/directory-machine.ts
+++ b/src/directory/directory-machine.ts
@@ -212,7 +212,7 @@
   const others = otherInstancesAtDaemon(state, instance);
   // A registration that was delayed in the network must not end an incarnation that started after it was sent.
   if (replaces !== undefined && others.some(({ id }) => id !== replaces)) {
-    return unchanged({ kind: 'invalid', detail: 'another incarnation is registered at the same daemon' });
+    return unchanged({ kind: 'invalid', detail: 'another life is registered at its daemon' });
   }
   const known = state.instances.get(instance.id);
   const session = known?.session ?? index;
--- a/src/quarantine/crash-commands.ts
+++ b/src/quarantine/crash-commands.ts
@@ -173,8 +173,8 @@
   const known = records.get(fingerprint);
   if (known === undefined || stageAt(known, version) === 'free') return NO_CHANGE;
   if (known.permittedAt === life) return NO_CHANGE;
-  if (known.permittedAt !== null) return invalid(`the permit is held by ${known.permittedAt}`);
-  if (stageAt(known, version) === 'quarantined') return invalid('the request is quarantined');
+  if (known.permittedAt !== null) return invalid(`it runs at ${known.permittedAt}`);
+  if (stageAt(known, version) === 'quarantined') return invalid('it is quarantined');
   const isCounted = crashCount(known) >= RUN_LIMIT_CRASH_THRESHOLD;
   const next = { ...known, permittedAt: life, countedRuns: known.countedRuns + (isCounted ? 1 : 0) };
   records.set(fingerprint, next);
--- a/src/sidecar/caller-request.ts
+++ b/src/sidecar/caller-request.ts
@@ -22,7 +22,7 @@
 }
 
 /** Reason given for refusing a quarantined request. */
-export const QUARANTINE_REASON = 'back ends ended while running this request; it is not run again';
+export const QUARANTINE_REASON = 'back ends have ended under this request; it is not run again';
 
 /** Outcome of a request that ends without an answer of a back end. */
 export type UnansweredOutcome =
--- a/src/sidecar/request-intake.ts
+++ b/src/sidecar/request-intake.ts
@@ -29,7 +29,7 @@
   /** Returns the request to forward, or the answer to send instead. */
   prepare(incoming: IncomingRequest): CallerRequest | LocalAnswer {
     const { runtime, table, dialect } = this.ports;
-    if (!table.configured) return retryLaterAnswer('the sidecar has not received a configuration yet');
+    if (!table.configured) return retryLaterAnswer('no configuration is known here yet');
     const route = table.routes.find(incoming.host, incoming.path);
     const service = route?.nextService() ?? null;
     if (route === null || service === null) return this.noRouteAnswer();
@@ -56,9 +56,8 @@
 
   /** Returns a final answer only when the table is current: a newer table may contain the missing route. */
   private noRouteAnswer(): LocalAnswer {
-    if (this.ports.tableIsCurrent())
-      return localAnswer(LOCAL_STATUS.noRoute, 'no route matches the host and path');
-    return retryLaterAnswer('the configuration of the sidecar may be outdated');
+    if (this.ports.tableIsCurrent()) return localAnswer(LOCAL_STATUS.noRoute, 'no route fits');
+    return retryLaterAnswer('the configuration here may be old');
   }
 
   private headersToForward(headers: readonly string[]): string[] {
