--- a/lab/sim/fleet/fleet-backend.ts
+++ b/lab/sim/fleet/fleet-backend.ts
@@ -50,10 +50,10 @@
 export class FleetBackend {
   readonly keys: HeldKeys;
   sequence = 0;
-  up = true;
+  isRunning = true;
   draining = false;
   /** Whether it has announced its end and sends no more heartbeats. */
-  saidGoodbye = false;
+  hasAnnouncedLeave = false;
   private readonly inProgress = new Set<RequestInProgress>();
 
   constructor(
@@ -71,7 +71,7 @@
       () => ports.grantMode(service.name),
       () => ports.queue.nowMs,
       (ranges) => {
-        if (this.up) ports.judge.holds(life, service.name, ranges, ports.queue.nowMs);
+        if (this.isRunning) ports.judge.holds(life, service.name, ranges, ports.queue.nowMs);
       },
     );
   }
@@ -100,7 +100,7 @@
   }
 
   /** Breaks the connections of at most `count` requests in progress, and keeps running. */
-  reset(count = Infinity): void {
+  resetConnections(count = Infinity): void {
     for (const work of [...this.inProgress].slice(0, count)) {
       this.inProgress.delete(work);
       this.close(work.run, 'cut');
@@ -109,7 +109,7 @@
   }
 
   /** Answers the requests in progress with bytes that are not a valid answer. */
-  garble(): void {
+  sendGarbledAnswers(): void {
     for (const work of [...this.inProgress]) {
       this.inProgress.delete(work);
       this.close(work.run, 'cut');
@@ -118,8 +118,8 @@
   }
 
   /** Ends silently: connections stay open and get no answers. */
-  goDark(): void {
-    this.up = false;
+  stopResponding(): void {
+    this.isRunning = false;
     this.ports.judge.ended(this.life);
     for (const { run } of this.inProgress) this.close(run, 'backend-ended');
     this.inProgress.clear();
@@ -127,7 +127,7 @@
 
   /** Ends at once and breaks the connections of requests in progress. */
   end(): void {
-    this.up = false;
+    this.isRunning = false;
     this.ports.judge.ended(this.life);
     for (const { run, handlers } of this.inProgress) {
       this.close(run, 'backend-ended');
--- a/lab/sim/fleet/fleet-callers.ts
+++ b/lab/sim/fleet/fleet-callers.ts
@@ -20,7 +20,7 @@
 const FIRST_FAILURE_STATUS = 300;
 
 /** One attempt of a caller. */
-export interface FleetTry {
+export interface FleetAttempt {
   readonly requestId: string;
   readonly traffic: string;
   readonly machine: string;
@@ -34,7 +34,7 @@
 export interface FleetRequestRecord {
   readonly traffic: string;
   readonly atMs: number;
-  readonly tries: FleetTry[];
+  readonly attempts: FleetAttempt[];
   served: boolean;
 }
 
@@ -56,16 +56,16 @@
       if (this.queue.nowMs >= untilMs) return;
       this.send(traffic, number);
       number += 1;
-      this.queue.at(this.queue.nowMs + this.random.exponential(traffic.everyMs), next);
+      this.queue.at(this.queue.nowMs + this.random.exponential(traffic.meanIntervalMs), next);
     };
-    this.queue.at(traffic.fromMs, next);
+    this.queue.at(traffic.startMs, next);
   }
 
   /** Sends one request immediately. */
   send(traffic: FleetTraffic, number: number): FleetRequestRecord {
-    const record = { traffic: traffic.name, atMs: this.queue.nowMs, tries: [], served: false };
+    const record = { traffic: traffic.name, atMs: this.queue.nowMs, attempts: [], served: false };
     this.requests.push(record);
-    this.attempt(traffic, number, record, traffic.retries);
+    this.attempt(traffic, number, record, traffic.maxRetries);
     return record;
   }
 
@@ -82,7 +82,7 @@
     const machine = this.random.pick(listening);
     this.nextId += 1;
     const requestId = `request-${this.nextId}`;
-    const current: FleetTry = {
+    const current: FleetAttempt = {
       requestId,
       traffic: traffic.name,
       machine: machine.name,
@@ -90,7 +90,7 @@
       status: null,
       answeredMs: Infinity,
     };
-    record.tries.push(current);
+    record.attempts.push(current);
     const onAnswered = (status: number, retryAfterMs: number): void => {
       if (current.status !== null) return;
       current.status = status;
--- a/lab/sim/fleet/fleet-spec.ts
+++ b/lab/sim/fleet/fleet-spec.ts
@@ -20,16 +20,16 @@
   /** Key of the request with the given number; null if the service is not keyed. */
   readonly key: (number: number) => number | null;
   /** Mean interval between requests. */
-  readonly everyMs: number;
+  readonly meanIntervalMs: number;
   /** Time of the first request. */
-  readonly fromMs: number;
+  readonly startMs: number;
   readonly deadlineMs: number;
   /** Mean processing time at the back end. */
   readonly workMs: number;
   /** Whether a back end ends after processing such a request, or the back-end versions that do. */
   readonly endsBackend: boolean | readonly string[];
   /** Maximum number of retries by the caller, each as soon as the answer allows. */
-  readonly retries: number;
+  readonly maxRetries: number;
 }
 
 /** A fleet and its traffic. */
@@ -37,9 +37,9 @@
   readonly services: readonly FleetService[];
   readonly traffic: readonly FleetTraffic[];
   /** Time after which an ended back end restarts. */
-  readonly backAfterMs: number;
+  readonly restartDelayMs: number;
   /** Slots of a back end. */
   readonly slots: number;
   /** Interval between spontaneous ends of back ends; null for none. */
-  readonly endsByItselfEveryMs: number | null;
+  readonly spontaneousEndIntervalMs: number | null;
 }
--- a/lab/sim/sim-backend.ts
+++ b/lab/sim/sim-backend.ts
@@ -35,13 +35,13 @@
 export type GrantTableFactory = (clocks: BackendClocks) => GrantTable;
 
 /** Creates a grant table with all guards. */
-export const makeGrantTable: GrantTableFactory = (clocks) => new GrantTable(clocks, REPEAT_HORIZON_MS);
+export const createGrantTable: GrantTableFactory = (clocks) => new GrantTable(clocks, REPEAT_HORIZON_MS);
 
 /** One back end across all its incarnations. */
 export class SimBackend {
   grants: GrantTable;
   /** Additional delay in ms until a call sent now takes effect. */
-  heldUpMs = 0;
+  callDelayMs = 0;
   private gate: RequestGate;
   private bornMs = 0;
   private readonly load = new Map<number, number>();
@@ -88,7 +88,7 @@
   }
 
   /** Creates the port through which an agent on the same machine calls the back end. */
-  portFor(agent: SimProcess, agentInstance: string): BackendPort {
+  createPort(agent: SimProcess, agentInstance: string): BackendPort {
     return new SimBackendPort(this, agent, agentInstance);
   }
 
@@ -202,7 +202,7 @@
         });
         return;
       }
-      process.schedule(LOCAL_CALL_MS + this.backend.heldUpMs, () => {
+      process.schedule(LOCAL_CALL_MS + this.backend.callDelayMs, () => {
         void run(this.backend).then((result) => {
           this.agent.schedule(LOCAL_CALL_MS, () => {
             resolve(result);
--- a/lab/sim/sim-disk.ts
+++ b/lab/sim/sim-disk.ts
@@ -54,7 +54,7 @@
   }
 
   /** Loses the folder; the next incarnation starts with a new one. */
-  lose(): void {
+  loseContent(): void {
     const { identity } = this.durable.owner;
     this.durable = this.emptyContent();
     if (this.faults.reusesIdentity) this.durable.owner = { name: this.replica, identity };
@@ -68,7 +68,7 @@
   }
 
   /** Delays the next sync by `ms`, as on a stalling disk. */
-  stallFor(ms: number): void {
+  stallNextSync(ms: number): void {
     this.nextSyncStallMs = ms;
   }
 
--- a/lab/sim/sim-guards.ts
+++ b/lab/sim/sim-guards.ts
@@ -6,7 +6,7 @@
 import { LeaseTable } from '../../src/control/lease-table.js';
 import { GrantTable, type Admission } from '../backend/grant-table.js';
 import type { DiskFaults } from './sim-disk.js';
-import { makeGrantTable, type GrantTableFactory } from './sim-backend.js';
+import { createGrantTable, type GrantTableFactory } from './sim-backend.js';
 
 /** Names of the guards. */
 export const GUARD_NAMES = [
@@ -81,7 +81,7 @@
     case 'holder-starts-from-sending':
       return (clocks) => new LateExpiryGrantTable(clocks, REPEAT_HORIZON_MS);
     default:
-      return makeGrantTable;
+      return createGrantTable;
   }
 }
 
--- a/lab/sim/sim-network.ts
+++ b/lab/sim/sim-network.ts
@@ -75,7 +75,7 @@
   }
 
   /** Whether messages from one process currently reach another. */
-  passes(from: string, to: string): boolean {
+  canDeliver(from: string, to: string): boolean {
     return !this.cuts.has(`${from}>${to}`);
   }
 
@@ -124,7 +124,7 @@
   }
 
   /** Breaks the connections of a crashed process at their remote ends and removes its listeners. */
-  crashed(process: SimProcess): void {
+  breakConnectionsOf(process: SimProcess): void {
     for (const [address, listener] of this.listeners) {
       for (const endpoint of listener.connections) {
         if (listener.process === process || endpoint.peerProcess === process) endpoint.closeByPeer();
@@ -170,7 +170,7 @@
 
   send(message: unknown): void {
     if (!this.open) return;
-    this.process.work(this.network.workMs(message));
+    this.process.occupy(this.network.workMs(message));
     this.transmitWithFaults(message);
   }
 
@@ -230,14 +230,14 @@
 
   private receive(message: unknown): void {
     if (!this.open) return;
-    this.process.work(this.network.workMs(message));
+    this.process.occupy(this.network.workMs(message));
     this.handlers.onMessage(message);
   }
 
   /** Delivers messages delayed by a cut in their order once it has healed, before any that were sent later. */
   private deliverDelayed(): void {
     if (!this.open) return;
-    if (this.network.passes(this.peerProcess.name, this.process.name)) {
+    if (this.network.canDeliver(this.peerProcess.name, this.process.name)) {
       for (const message of this.delayed.splice(0)) this.receive(message);
       return;
     }
@@ -296,8 +296,8 @@
   }
 
   private canConnect(listener: OpenListener): boolean {
-    const outgoing = this.network.passes(this.process.name, listener.process.name);
-    return outgoing && this.network.passes(listener.process.name, this.process.name);
+    const outgoing = this.network.canDeliver(this.process.name, listener.process.name);
+    return outgoing && this.network.canDeliver(listener.process.name, this.process.name);
   }
 
   private failAfterTimeout(): void {
--- a/lab/sim/sim-process.ts
+++ b/lab/sim/sim-process.ts
@@ -82,7 +82,7 @@
   }
 
   /** Occupies the processor for `ms` of true time; callbacks that come due meanwhile wait. */
-  work(ms: number): void {
+  occupy(ms: number): void {
     this.busyUntilMs = this.nowTrueMs() + this.remainingWorkMs + ms;
   }
 
@@ -119,7 +119,7 @@
   }
 
   /** Steps the wall clock forward, or back for a negative `ms`. */
-  stepWall(ms: number): void {
+  stepWallClock(ms: number): void {
     this.wallStepMs += ms;
   }
 
--- a/lab/sim/sim-router.ts
+++ b/lab/sim/sim-router.ts
@@ -140,7 +140,7 @@
   /** Delivers a message to `process`; delayed while the connection is cut. */
   private deliver(process: SimProcess, from: string, run: () => void): void {
     process.schedule(this.network.drawDelayMs(), () => {
-      if (this.network.passes(from, process.name)) run();
+      if (this.network.canDeliver(from, process.name)) run();
       else this.deliver(process, from, run);
     });
   }
--- a/lab/sim/sim-world.ts
+++ b/lab/sim/sim-world.ts
@@ -98,9 +98,9 @@
     this.machines = Array.from({ length: SIM_SIZE.machines }, (_, at) => this.createMachine(at));
     this.backends = new Map(this.machines.map(({ backend }) => [backend.name, backend]));
     this.routerProcesses = Array.from({ length: SIM_SIZE.routers }, (_, at) =>
-      this.makeProcess(`router-${at}`),
+      this.createProcess(`router-${at}`),
     );
-    this.operator = this.makeProcess('operator');
+    this.operator = this.createProcess('operator');
     this.operator.start();
     this.callers = this.createCallers();
   }
@@ -158,7 +158,7 @@
     control.store?.crash();
     control.node = null;
     this.crash(control.process);
-    if (loseDisk) control.disk.lose();
+    if (loseDisk) control.disk.loseContent();
   }
 
   /** Starts a back end and its agent. */
@@ -187,7 +187,7 @@
       settings,
       TOKEN,
       this.logger(agentProcess.name),
-      (instance) => backend.portFor(agentProcess, instance),
+      (instance) => backend.createPort(agentProcess, instance),
       this.runtime(agentProcess),
     );
     machine.agent = started.unwrap();
@@ -216,7 +216,7 @@
   /** Crashes a process and breaks its connections. */
   crash(process: SimProcess): void {
     process.crash();
-    this.network.crashed(process);
+    this.network.breakConnectionsOf(process);
   }
 
   /** Returns the control replica that considers itself leader; the one with the newest term if there are several. */
@@ -279,7 +279,7 @@
 
   // ---- construction
 
-  private makeProcess(name: string): SimProcess {
+  private createProcess(name: string): SimProcess {
     const { maxClockDrift } = this.options.scenario;
     const rate = 1 + (this.random.fraction() * 2 - 1) * maxClockDrift;
     const startMs = this.random.below(1_000_000);
@@ -291,12 +291,12 @@
     const name = `control-${at}`;
     const faults = diskFaults(this.options.withoutGuard);
     const disk = new SimDisk(name, () => this.nextId(), this.random, faults);
-    return { name, process: this.makeProcess(name), disk, node: null, store: null };
+    return { name, process: this.createProcess(name), disk, node: null, store: null };
   }
 
   /** A back end and its agent share a clock, since they run on the same machine. */
   private createMachine(at: number): SimMachine {
-    const process = this.makeProcess(`backend-${at}`);
+    const process = this.createProcess(`backend-${at}`);
     const agentProcess = process.onSameMachine(`agent-${at}`);
     const createGrants = grantTableFactory(this.options.withoutGuard);
     const backend = new SimBackend(
@@ -313,7 +313,7 @@
   }
 
   private createCallers(): SimCallers {
-    const process = this.makeProcess('callers');
+    const process = this.createProcess('callers');
     process.start();
     return new SimCallers(process, this.network, this.random, {
       service: SERVICE,
